--- a/src/main/java/crankspar/BenchLink.java
+++ b/src/main/java/crankspar/BenchLink.java
@@ -185,7 +185,7 @@
             }
             case "Lapsed": {
                 String id = f.text(2, "MsgId");
-                return () -> r.onGone(now, id);
+                return () -> r.onClientGone(now, id);
             }
             case "Ring": {
                 long cookie = f.whole(2, "Cookie");
@@ -193,7 +193,7 @@
             }
             case "NeighbourSays": {
                 byte[] message = hex(f.text(3, "Content"));
-                return () -> r.onPeer(now, message);
+                return () -> r.onPeerMessage(now, message);
             }
             case "Begun":
                 return () -> { };
@@ -260,7 +260,7 @@
         Instance(Router.Settings settings, Out actions,
                  BiFunction<Router.Settings, Router.Actions, Router> maker) {
             this.actions = actions;
-            countedFrom = settings.countedFrom();
+            countedFrom = settings.positionEpoch();
             settings.classes().forEach(c -> classNumbers.put(c.name(), classNumbers.size()));
             router = maker.apply(settings, actions);
         }
@@ -314,8 +314,8 @@
         @Override public void cancel(String request, int attempt) { put("StopAttempt", request, attempt); }
         @Override public void setTimer(double delay, long cookie) { put("Defer", delay, cookie); }
         @Override public void probe(String member) { put("Inspect", member); }
-        @Override public void watch(boolean on) { put("StreamChanges", on); }
+        @Override public void watchDiscovery(boolean on) { put("StreamChanges", on); }
         @Override public void log(String text) { put("Record", text); }
-        @Override public void tell(byte[] message) { put("WritePeer", "*", java.util.HexFormat.of().formatHex(message)); }
+        @Override public void broadcast(byte[] message) { put("WritePeer", "*", java.util.HexFormat.of().formatHex(message)); }
     }
 }
--- a/src/main/java/crankspar/Router.java
+++ b/src/main/java/crankspar/Router.java
@@ -34,7 +34,7 @@
   }
 
   /** What a replica does with a read it is too far behind for. */
-  enum Behind {
+  enum LaggingRead {
     ANSWERS,
     REFUSES,
     WAITS
@@ -108,62 +108,65 @@
    */
   record RequestClass(
       String name,
-      double aim,
-      double giveUp,
-      double worth,
-      double lateShare,
+      double targetLatency,
+      double timeout,
+      double value,
+      double lateValueShare,
       Repeat repeat,
-      DedupScope scope,
+      DedupScope dedupScope,
       double keyTtl,
       Freshness freshness,
-      double bound) {
+      double stalenessBound) {
     public RequestClass {
-      need(aim > 0, "class " + name + ": aim", aim);
-      need(giveUp > 0, "class " + name + ": giveUp", giveUp);
-      need(worth >= 0, "class " + name + ": worth", worth);
-      need(lateShare >= 0 && lateShare <= 1, "class " + name + ": lateShare", lateShare);
-      need(keyTtl >= 0, "class " + name + ": keyTtl", keyTtl);
-      need(bound >= 0, "class " + name + ": bound", bound);
+      requireSetting(targetLatency > 0, "class " + name + ": aim", targetLatency);
+      requireSetting(timeout > 0, "class " + name + ": giveUp", timeout);
+      requireSetting(value >= 0, "class " + name + ": worth", value);
+      requireSetting(
+          lateValueShare >= 0 && lateValueShare <= 1,
+          "class " + name + ": lateShare",
+          lateValueShare);
+      requireSetting(keyTtl >= 0, "class " + name + ": keyTtl", keyTtl);
+      requireSetting(stalenessBound >= 0, "class " + name + ": bound", stalenessBound);
     }
   }
 
   /** Figures of the rules, ms but for the shares {@code coldFrom} and {@code fallMultiple}. */
   record Guarantees(
       double answerSlack,
-      double askEvery,
-      double coldFrom,
+      double maxDiscoveryGap,
+      double initialColdShare,
       double rampTime,
       double drainGrace,
       double fallMultiple,
       double fall,
       boolean softRemoval) {
     public Guarantees {
-      need(answerSlack >= 0, "answerSlack", answerSlack);
-      need(askEvery >= 0, "askEvery", askEvery);
-      need(coldFrom > 0 && coldFrom <= 1, "coldFrom", coldFrom);
-      need(rampTime >= 0, "rampTime", rampTime);
-      need(drainGrace >= 0, "drainGrace", drainGrace);
-      need(fallMultiple > 0, "fallMultiple", fallMultiple);
-      need(fall > 0, "fall", fall);
+      requireSetting(answerSlack >= 0, "answerSlack", answerSlack);
+      requireSetting(maxDiscoveryGap >= 0, "askEvery", maxDiscoveryGap);
+      requireSetting(initialColdShare > 0 && initialColdShare <= 1, "coldFrom", initialColdShare);
+      requireSetting(rampTime >= 0, "rampTime", rampTime);
+      requireSetting(drainGrace >= 0, "drainGrace", drainGrace);
+      requireSetting(fallMultiple > 0, "fallMultiple", fallMultiple);
+      requireSetting(fall > 0, "fall", fall);
     }
   }
 
   /** What the site permits; times in ms. */
   record Limits(
-      int mostTries,
-      boolean secondCopies,
-      boolean cancelling,
+      int maxAttempts,
+      boolean hedging,
+      boolean cancellation,
       boolean probes,
       boolean retryAfter,
       double maxRetryAfter,
-      double dialTimeout,
-      double connIdle,
-      int maxOpen,
-      boolean mayTell) {
+      double connectTimeout,
+      double connectionIdleTimeout,
+      int maxConnections,
+      boolean peerMessages) {
     public Limits {
-      need(mostTries > 0, "mostTries", mostTries);
-      need(maxRetryAfter >= 0, "maxRetryAfter", maxRetryAfter);
-      need(dialTimeout >= 0, "dialTimeout", dialTimeout);
+      requireSetting(maxAttempts > 0, "mostTries", maxAttempts);
+      requireSetting(maxRetryAfter >= 0, "maxRetryAfter", maxRetryAfter);
+      requireSetting(connectTimeout >= 0, "dialTimeout", connectTimeout);
     }
   }
 
@@ -175,26 +178,26 @@
       long seed,
       String zone,
       List<String> zones,
-      int me,
-      int siblings,
-      double round,
-      boolean askDiscovery,
+      int instanceIndex,
+      int instanceCount,
+      double batchInterval,
+      boolean watchDiscovery,
       List<RequestClass> classes,
-      Behind behind,
+      LaggingRead laggingRead,
       double patience,
       RoleInList roleInList,
       SessionMarks sessionMarks,
-      boolean tellsPosition,
+      boolean reportsPosition,
       boolean commitWaits,
-      double countedFrom,
+      double positionEpoch,
       Reports reports,
-      Guarantees rules,
+      Guarantees guarantees,
       Limits limits,
       Prices prices) {
     public Settings {
-      need(siblings > 0, "siblings", siblings);
-      need(round >= 0, "round", round);
-      need(patience >= 0, "patience", patience);
+      requireSetting(instanceCount > 0, "siblings", instanceCount);
+      requireSetting(batchInterval >= 0, "round", batchInterval);
+      requireSetting(patience >= 0, "patience", patience);
       zones = List.copyOf(zones);
       classes = List.copyOf(classes);
     }
@@ -227,7 +230,7 @@
       String member,
       Status status,
       double elapsed,
-      boolean over,
+      boolean requestDone,
       Role role,
       double position) {}
 
@@ -240,7 +243,7 @@
    * where that is not known (any more): in one call for all members or for none. Both times are
    * negative infinity where only that number is news: it is no sign of life.
    */
-  record Told(String member, Role role, double position, double at, int inFlight) {}
+  record PeerReport(String member, Role role, double position, double heardAt, int inFlight) {}
 
   /** What the module may do. Positive delays in ms; times out at the client's own limit when 0. */
   interface Actions {
@@ -256,12 +259,12 @@
 
     void probe(String member);
 
-    void watch(boolean on);
+    void watchDiscovery(boolean on);
 
     void log(String text);
 
     /** Told to every other instance, if it arrives: 256 bytes at most. */
-    default void tell(byte[] message) {}
+    default void broadcast(byte[] message) {}
   }
 
   void onStart(double now);
@@ -287,18 +290,18 @@
   default void onDatabaseClock(double now, double ahead) {}
 
   /** A message from another instance, as it came. */
-  default void onPeer(double now, byte[] message) {}
+  default void onPeerMessage(double now, byte[] message) {}
 
   /** What another instance has learned first-hand. */
-  default void onHearsay(double now, List<Told> what) {}
+  default void onPeerReports(double now, List<PeerReport> reports) {}
 
   /** Counts since the start, for operators. */
-  default Map<String, Long> counts() {
+  default Map<String, Long> counters() {
     return Map.of();
   }
 
   /** The client left: nothing is owed for the request any more. */
-  void onGone(double now, String request);
+  void onClientGone(double now, String request);
 
   void onTimer(double now, long cookie);
 
@@ -308,7 +311,7 @@
    */
   Set<String> avoided();
 
-  private static void need(boolean holds, String setting, double value) {
+  private static void requireSetting(boolean holds, String setting, double value) {
     if (!holds || Double.isNaN(value)) {
       throw new IllegalArgumentException("setting " + setting + " is out of range: " + value);
     }
--- a/src/main/java/crankspar/config/SettingsReader.java
+++ b/src/main/java/crankspar/config/SettingsReader.java
@@ -76,11 +76,11 @@
             "Behind",
             Map.of(
                 "off",
-                Router.Behind.ANSWERS,
+                Router.LaggingRead.ANSWERS,
                 "refuse",
-                Router.Behind.REFUSES,
+                Router.LaggingRead.REFUSES,
                 "wait",
-                Router.Behind.WAITS)),
+                Router.LaggingRead.WAITS)),
         domain.number("Patience", 0),
         domain.word(
             "RoleInList",
--- a/src/main/java/crankspar/core/Attempts.java
+++ b/src/main/java/crankspar/core/Attempts.java
@@ -45,8 +45,8 @@
     this.counters = counters;
     this.figures = figures;
     this.notes = notes;
-    mostTries = limits.mostTries();
-    mostOut = limits.secondCopies() ? 2 : 1;
+    mostTries = limits.maxAttempts();
+    mostOut = limits.hedging() ? 2 : 1;
   }
 
   void audit(Ports.Audit audit) {
--- a/src/main/java/crankspar/core/Pooler.java
+++ b/src/main/java/crankspar/core/Pooler.java
@@ -59,7 +59,7 @@
     figures = new Figures(settings.classes().size());
     var notes = new Notes(time, counters, databaseClock, this::foundAhead);
     turns = new Turns(time, counters);
-    prober = new Prober<>(time, backends, counters, notes, settings.limits().dialTimeout());
+    prober = new Prober<>(time, backends, counters, notes, settings.limits().connectTimeout());
     attempts =
         new Attempts<>(
             this, settings.limits(), time, backends, counters, figures, notes, databaseClock);
@@ -118,12 +118,12 @@
                 new Router.Request(
                     id, ask.requestClass(), deadline - now, ask.session(), age, ask.group())));
     time.after(
-        deadline - now + settings.rules().answerSlack() * LAST,
+        deadline - now + settings.guarantees().answerSlack() * LAST,
         () -> {
           if (unanswered(pending)) {
             counters.add("overdue");
             log("failed", pending, () -> "deadline");
-            event(() -> module.onGone(now(), id));
+            event(() -> module.onClientGone(now(), id));
             answer(id, pending, pending.failed("deadline"));
           }
         });
@@ -137,7 +137,7 @@
       counters.add("gone");
       log("closed", pending, () -> "its client has left");
       audit(pending, Ports.Audit.Answer.CLIENT_LEFT);
-      event(() -> module.onGone(now(), id));
+      event(() -> module.onClientGone(now(), id));
       conclude(id, pending);
       attempts.callOff(pending);
     }
@@ -164,7 +164,7 @@
     PendingRequest<Q, A> pending = requests.get(id);
     if (unanswered(pending)) {
       counters.add("cancelled");
-      event(() -> module.onGone(now(), id));
+      event(() -> module.onClientGone(now(), id));
       attempts.callOff(pending);
       answer(id, pending, pending.failed("canceled by its client"));
     }
@@ -201,7 +201,7 @@
           if (pending.taken < takenFrom || takenFrom > 0 && pending.begun != null) {
             return;
           }
-          event(() -> module.onGone(now(), id));
+          event(() -> module.onClientGone(now(), id));
           answer(id, pending, pending.failed("this pooler ends"));
           if (pending.begun != null && pending.out.contains(pending.begun)) {
             attempts.callOff(pending.begun);
@@ -374,22 +374,22 @@
   }
 
   @Override
-  public void tell(byte[] message) {
+  public void broadcast(byte[] message) {
     peers.tell(message);
   }
 
   /** A message from another pooler, as it came. */
   public void heard(byte[] message) {
-    event(() -> module.onPeer(now(), message));
+    event(() -> module.onPeerMessage(now(), message));
   }
 
   /** The module's counts since the start. */
   public Map<String, Long> counts() {
-    return module.counts();
+    return module.counters();
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchDiscovery(boolean on) {
     discovery.watch(on);
   }
 
--- a/src/main/java/crankspar/daemon/Assembly.java
+++ b/src/main/java/crankspar/daemon/Assembly.java
@@ -192,7 +192,7 @@
         if (config != null) {
             add(how.serve(new Fronts.Plan(Fronts.PLATFORM, config.settings(), config.discovery(), config.known(), true, discovery -> {
                 Router.Settings s = config.settings();
-                var pool = new Pool<Statement, PgAnswer>(loop, counters, () -> PgFront.dial(counters), PgFront.probe(), s.limits().dialTimeout(), s.limits().connIdle(), servers);
+                var pool = new Pool<Statement, PgAnswer>(loop, counters, () -> PgFront.dial(counters), PgFront.probe(), s.limits().connectTimeout(), s.limits().connectionIdleTimeout(), servers);
                 platformCore = new Pooler<>(s, loop, pool, discovery, counters, GossipReceiver.before(Balance::new));
                 platformCore.naming(statement -> statement.names().get("id"));
                 if (shared != null && s.sessionMarks() == Router.SessionMarks.REMEMBERED) {
@@ -262,8 +262,8 @@
         if (operator != null && operator.membership() != null) {
             peering.share(operator.membership(), config, planned.get(0), // its datagrams have the peers' port to themselves
                     fronts.stream().map(f -> new SharedProbes.Client(f.core(), f.members()::running)).toList(), sharedWatch);
-        } else if (config != null && config.peers() != null && config.settings().limits().mayTell()) {
-            peering.hear(config.peers(), config.settings().me(), fronts.get(0).core());
+        } else if (config != null && config.peers() != null && config.settings().limits().peerMessages()) {
+            peering.hear(config.peers(), config.settings().instanceIndex(), fronts.get(0).core());
             if (operator == null || operator.audit() == null) { // the audit has its own word of drains, which two have to say
                 drainPropagation = DrainPropagation.attach(loop, peering, fronts.get(0));
             }
--- a/src/main/java/crankspar/daemon/Auditing.java
+++ b/src/main/java/crankspar/daemon/Auditing.java
@@ -54,7 +54,7 @@
       throws Config.Bad, IOException, InterruptedException {
     loop = parts.loop();
     Config.Peers given = config == null ? null : config.peers();
-    if (setup.listen() == null && (given == null || !config.settings().limits().mayTell())) {
+    if (setup.listen() == null && (given == null || !config.settings().limits().peerMessages())) {
       // Guards against a fleet of which each pooler takes itself for alone, and shuts itself out
       // with discovery.
       throw new Config.Bad(
@@ -63,7 +63,7 @@
               + (given == null ? "tells no peers" : "lets poolers tell each other nothing"));
     }
     List<InetSocketAddress> all = setup.listen() != null ? setup.peers() : given.all();
-    int me = setup.listen() != null ? setup.me() : settings.me();
+    int me = setup.listen() != null ? setup.me() : settings.instanceIndex();
     var standing =
         new StandingSettings(
             me, Math.min(Digest.POOLERS_MOST, all.size()), setup.lease(), setup.share());
@@ -196,19 +196,19 @@
             "",
             s.zones(),
             0,
-            s.siblings(),
-            s.round(),
-            s.askDiscovery(),
+            s.instanceCount(),
+            s.batchInterval(),
+            s.watchDiscovery(),
             s.classes(),
-            s.behind(),
+            s.laggingRead(),
             s.patience(),
             s.roleInList(),
             s.sessionMarks(),
-            s.tellsPosition(),
+            s.reportsPosition(),
             s.commitWaits(),
-            s.countedFrom(),
+            s.positionEpoch(),
             s.reports(),
-            s.rules(),
+            s.guarantees(),
             s.limits(),
             s.prices())
         .toString();
--- a/src/main/java/crankspar/daemon/DrainPropagation.java
+++ b/src/main/java/crankspar/daemon/DrainPropagation.java
@@ -37,10 +37,10 @@
 
   /** Where lists are asked for, as a pushed list's agent is each pooler's own; null elsewhere. */
   static DrainPropagation attach(EventLoop loop, Peering peering, Served front) {
-    int me = front.settings().me();
+    int me = front.settings().instanceIndex();
     if (front.watch() == null
-        || !front.settings().askDiscovery()
-        || front.settings().siblings() < 2
+        || !front.settings().watchDiscovery()
+        || front.settings().instanceCount() < 2
         || me >= GossipMessage.POOLERS_MOST) {
       return null;
     }
--- a/src/main/java/crankspar/daemon/Fronts.java
+++ b/src/main/java/crankspar/daemon/Fronts.java
@@ -86,7 +86,7 @@
           members[0] =
               new Directory(
                   parts.loop,
-                  settings.rules().rampTime(),
+                  settings.guarantees().rampTime(),
                   parts.store,
                   plan.name(),
                   made.pool(),
@@ -111,7 +111,7 @@
    * says when.
    */
   private static void follow(Watch watch, Router.Settings settings, Directory members) {
-    if (watch != null && !settings.askDiscovery()) {
+    if (watch != null && !settings.watchDiscovery()) {
       members.await();
       watch.onWord(members::word);
       watch.watch(true);
--- a/src/main/java/crankspar/daemon/GracefulShutdown.java
+++ b/src/main/java/crankspar/daemon/GracefulShutdown.java
@@ -63,7 +63,7 @@
     longest =
         Math.max(
             longest,
-            settings.classes().stream().mapToDouble(Router.RequestClass::giveUp).max().orElse(0));
+            settings.classes().stream().mapToDouble(Router.RequestClass::timeout).max().orElse(0));
   }
 
   /**
--- a/src/main/java/crankspar/daemon/Peering.java
+++ b/src/main/java/crankspar/daemon/Peering.java
@@ -73,7 +73,7 @@
         new SharedProbes.Setup(
             m.listen() != null ? m.listen() : given.listen(),
             m.listen() != null ? m.peers() : given.all(),
-            m.listen() != null ? m.me() : settings.me(),
+            m.listen() != null ? m.me() : settings.instanceIndex(),
             settings.zone(),
             settings.zones(),
             m.weight(),
--- a/src/main/java/crankspar/daemon/Warmup.java
+++ b/src/main/java/crankspar/daemon/Warmup.java
@@ -100,7 +100,11 @@
       Router.Settings settings, List<Member> known, double most, int requests, Ports.Audit audit) {
     long began = System.nanoTime();
     work =
-        WORK * settings.classes().stream().mapToDouble(Router.RequestClass::aim).min().orElse(200);
+        WORK
+            * settings.classes().stream()
+                .mapToDouble(Router.RequestClass::targetLatency)
+                .min()
+                .orElse(200);
     int group = known.isEmpty() ? 1 : known.get(0).group();
     List<Member> members = members(settings.zones(), group);
     var pooler =
@@ -139,7 +143,7 @@
                               + ",c="
                               + kind.name()
                               + ",d="
-                              + (int) kind.giveUp()
+                              + (int) kind.timeout()
                               + ",cluster="
                               + group
                               + (kind.freshness() == Freshness.SESSION
--- a/src/main/java/crankspar/discovery/Watch.java
+++ b/src/main/java/crankspar/discovery/Watch.java
@@ -34,7 +34,7 @@
    */
   public record Terms(boolean pushed, double grace) {
     public static Terms of(Router.Settings settings) {
-      return new Terms(!settings.askDiscovery(), settings.rules().drainGrace());
+      return new Terms(!settings.watchDiscovery(), settings.guarantees().drainGrace());
     }
   }
 
--- a/src/main/java/crankspar/gossip/GossipReceiver.java
+++ b/src/main/java/crankspar/gossip/GossipReceiver.java
@@ -9,7 +9,7 @@
 /**
  * The decision module with an ear for its peers, as one {@link Router}: the daemon's core and the
  * simulator's adapter use it alike. Every event goes on to the module unchanged; what passes is
- * noted, and what peers told comes to the module as {@link Router#onHearsay}.
+ * noted, and what peers told comes to the module as {@link Router#onPeerReports}.
  */
 public final class GossipReceiver implements Router {
   /** The module's own cookies count up from nought and never come so far. */
@@ -78,8 +78,8 @@
     }
 
     @Override
-    public void watch(boolean on) {
-      to.watch(on);
+    public void watchDiscovery(boolean on) {
+      to.watchDiscovery(on);
     }
 
     @Override
@@ -88,8 +88,8 @@
     }
 
     @Override
-    public void tell(byte[] message) {
-      to.tell(message);
+    public void broadcast(byte[] message) {
+      to.broadcast(message);
     }
   }
 
@@ -100,9 +100,9 @@
   public static BiFunction<Settings, Actions, Router> before(
       BiFunction<Settings, Actions, Router> module) {
     return (settings, actions) ->
-        settings.limits().mayTell()
-                && settings.siblings() > FEW
-                && settings.siblings() <= GossipMessage.POOLERS_MOST
+        settings.limits().peerMessages()
+                && settings.instanceCount() > FEW
+                && settings.instanceCount() <= GossipMessage.POOLERS_MOST
             ? new GossipReceiver(module, settings, actions)
             : module.apply(settings, actions);
   }
@@ -157,8 +157,8 @@
   }
 
   @Override
-  public void onGone(double now, String request) {
-    module.onGone(now, request);
+  public void onClientGone(double now, String request) {
+    module.onClientGone(now, request);
   }
 
   @Override
@@ -170,7 +170,7 @@
     waiting = false;
     byte[] message = gossip.next(now + ahead);
     if (message != null) {
-      actions.tell(message);
+      actions.broadcast(message);
     }
     hand(now, gossip.look(now + ahead));
     wake();
@@ -182,19 +182,23 @@
   }
 
   @Override
-  public void onPeer(double now, byte[] message) {
+  public void onPeerMessage(double now, byte[] message) {
     hand(now, gossip.heard(now + ahead, message));
   }
 
-  private void hand(double now, List<Router.Told> news) {
+  private void hand(double now, List<Router.PeerReport> news) {
     if (!news.isEmpty()) {
-      module.onHearsay(now, ahead == 0 ? news : news.stream().map(this::byOurClock).toList());
+      module.onPeerReports(now, ahead == 0 ? news : news.stream().map(this::byOurClock).toList());
     }
   }
 
-  private Router.Told byOurClock(Router.Told told) {
-    return new Router.Told(
-        told.member(), told.role(), told.position() - ahead, told.at() - ahead, told.inFlight());
+  private Router.PeerReport byOurClock(Router.PeerReport told) {
+    return new Router.PeerReport(
+        told.member(),
+        told.role(),
+        told.position() - ahead,
+        told.heardAt() - ahead,
+        told.inFlight());
   }
 
   /** Poolers tell each other times by the databases' clock: each may have another of its own. */
@@ -205,7 +209,7 @@
   }
 
   @Override
-  public Map<String, Long> counts() {
+  public Map<String, Long> counters() {
     return gossip.counts();
   }
 
--- a/src/main/java/crankspar/gossip/GossipService.java
+++ b/src/main/java/crankspar/gossip/GossipService.java
@@ -126,13 +126,13 @@
   private final Map<String, Long> dropped = new HashMap<>();
 
   public GossipService(Router.Settings settings) {
-    receivers = Math.max(1, settings.siblings() - 1);
-    me = settings.me();
+    receivers = Math.max(1, settings.instanceCount() - 1);
+    me = settings.instanceIndex();
     budget = new GossipBudget(settings.prices().peer(), receivers);
     bound =
         settings.classes().stream()
             .filter(c -> c.freshness() == Router.Freshness.BOUNDED)
-            .mapToDouble(Router.RequestClass::bound)
+            .mapToDouble(Router.RequestClass::stalenessBound)
             .min()
             .orElse(BOUND);
     period = PERIOD * bound;
@@ -258,7 +258,7 @@
    * What a peer told, as far as it can be believed: never of a database that the own list has not
    * named.
    */
-  public List<Router.Told> heard(double now, byte[] bytes) {
+  public List<Router.PeerReport> heard(double now, byte[] bytes) {
     GossipMessage b;
     try {
       b = GossipMessage.decode(bytes, now);
@@ -295,7 +295,7 @@
    * What peers that fell silent had in flight is forgotten; the same as {@link #heard}, with
    * nothing heard.
    */
-  public List<Router.Told> look(double now) {
+  public List<Router.PeerReport> look(double now) {
     return told(now, List.of(), now);
   }
 
@@ -303,17 +303,17 @@
    * The news of one message, and the loads that changed; all of them with loads that are known, or
    * none.
    */
-  private List<Router.Told> told(double now, List<Known> news, double at) {
+  private List<Router.PeerReport> told(double now, List<Known> news, double at) {
     forgetSilent(now);
-    var all = new ArrayList<Router.Told>(news.size());
+    var all = new ArrayList<Router.PeerReport>(news.size());
     for (Known k : news) {
-      all.add(new Router.Told(k.id, k.toldRole, k.told, at, loadsKnown ? k.others : -1));
+      all.add(new Router.PeerReport(k.id, k.toldRole, k.told, at, loadsKnown ? k.others : -1));
     }
     for (Known k : known.values()) {
       if (k.changed) {
         k.changed = false;
         all.add(
-            new Router.Told(
+            new Router.PeerReport(
                 k.id,
                 Role.UNKNOWN,
                 Double.NEGATIVE_INFINITY,
@@ -357,7 +357,7 @@
     }
   }
 
-  private List<Router.Told> drop(String why) {
+  private List<Router.PeerReport> drop(String why) {
     dropped.merge(why, 1L, Long::sum);
     return List.of();
   }
--- a/src/main/java/crankspar/lab/RoutingModel.java
+++ b/src/main/java/crankspar/lab/RoutingModel.java
@@ -86,7 +86,7 @@
         boolean up = true;
         int running;
         final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
-        private final ColdWindow window = new ColdWindow(world.settings().rules(), CORES, MEAN);
+        private final ColdWindow window = new ColdWindow(world.settings().guarantees(), CORES, MEAN);
         /** The poolers that know of its last start. */
         final BitSet toldOf = new BitSet();
 
@@ -101,15 +101,15 @@
 
         /** The part of its full capacity that it has. */
         double able() {
-            var rules = world.settings().rules();
-            return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, now - started) / rules.rampTime());
+            var rules = world.settings().guarantees();
+            return Math.min(1, rules.initialColdShare() + (1 - rules.initialColdShare()) * Math.max(0, now - started) / rules.rampTime());
         }
 
         Member listed() { return new Member(id, zone, primary, 1, Health.RUNNING, group, "", Math.max(0, started)); }
 
         /** What reaches a cold one counts, whatever it does with it, if its sender has been told. */
         private void pressed(double work, Attempt a) {
-            var rules = world.settings().rules();
+            var rules = world.settings().guarantees();
             if (now - started >= rules.rampTime() || !toldOf.get(a.from)) {
                 return;
             }
@@ -172,9 +172,9 @@
             asked.clear();
             idle.clear();
             Router.Settings s = world.settings();
-            router = maker.apply(new Router.Settings(random.nextLong(), zone, s.zones(), number, world.poolers(), s.round(), s.askDiscovery(),
-                    s.classes(), s.behind(), s.patience(), s.roleInList(), s.sessionMarks(), s.tellsPosition(), s.commitWaits(), s.countedFrom(),
-                    s.reports(), s.rules(), s.limits(), s.prices()), this);
+            router = maker.apply(new Router.Settings(random.nextLong(), zone, s.zones(), number, world.poolers(), s.batchInterval(), s.watchDiscovery(),
+                    s.classes(), s.laggingRead(), s.patience(), s.roleInList(), s.sessionMarks(), s.reportsPosition(), s.commitWaits(), s.positionEpoch(),
+                    s.reports(), s.guarantees(), s.limits(), s.prices()), this);
             router.onStart(now);
             router.onMembers(now, ListKind.OLD_COPY, databases.values().stream().map(Database::listed).toList());
         }
@@ -193,16 +193,16 @@
             var a = new Asked();
             a.kind = pick(SHARES);
             var kind = world.settings().classes().get(a.kind);
-            double ttl = kind.giveUp() * between(0.4, 1);
+            double ttl = kind.timeout() * between(0.4, 1);
             a.at = now;
             a.deadline = now + ttl;
             String id = Long.toString(count++, 36);
             asked.put(id, a);
             asking++;
-            worthAsked[a.kind] += kind.worth();
+            worthAsked[a.kind] += kind.value();
             double mark = kind.freshness() == Freshness.SESSION && random.nextDouble() < 0.7 ? between(20, 780) : -1;
             router.onRequest(now, new Router.Request(id, a.kind, ttl, "s" + random.nextInt(5000), mark, pick(popular)));
-            later(ttl + world.settings().rules().answerSlack(), () -> {
+            later(ttl + world.settings().guarantees().answerSlack(), () -> {
                 if (!a.over) {
                     throw broken("no final answer for a " + kind.name() + " at pooler " + number);
                 }
@@ -223,7 +223,7 @@
             if (ok && !a.over) {
                 a.over = true;
                 var kind = world.settings().classes().get(a.kind);
-                worthServed[a.kind] += now - a.at <= kind.aim() ? kind.worth() : now <= a.deadline ? kind.worth() * kind.lateShare() : 0;
+                worthServed[a.kind] += now - a.at <= kind.targetLatency() ? kind.value() : now <= a.deadline ? kind.value() * kind.lateValueShare() : 0;
             }
             router.onOutcome(now, new Router.Outcome(id, t.number, t.at.id, status, now - t.sent, a.over,
                     answered ? t.at.primary ? Role.PRIMARY : Role.REPLICA : Role.UNKNOWN, answered ? Math.floor(t.at.position()) : Double.NaN));
@@ -240,7 +240,7 @@
             if (kind.freshness() == Freshness.BOUNDED) {
                 bounded++;
                 boundedAtPrimary += d.primary ? 1 : 0;
-                if (d.position() < now - kind.bound()) {
+                if (d.position() < now - kind.stalenessBound()) {
                     throw broken("a stale read at " + member);
                 }
             }
@@ -305,10 +305,10 @@
                     there ? d.primary ? Role.PRIMARY : Role.REPLICA : Role.UNKNOWN, there ? position : Double.NaN)));
         }
 
-        @Override public void watch(boolean on) { }
+        @Override public void watchDiscovery(boolean on) { }
         @Override public void log(String text) { }
 
-        @Override public void tell(byte[] message) {
+        @Override public void broadcast(byte[] message) {
             if (message.length > 256) {
                 throw broken("a message of " + message.length + " bytes");
             }
@@ -317,7 +317,7 @@
                     after(between(1.4, 29), () -> {
                         if (i.up) {
                             told += message.length;
-                            i.router.onPeer(now, message);
+                            i.router.onPeerMessage(now, message);
                         }
                     });
                 }
@@ -469,7 +469,7 @@
     public Map<String, Long> counts() {
         var all = new java.util.TreeMap<String, Long>();
         for (Instance i : instances) {
-            i.router.counts().forEach((name, n) -> all.merge(name, n, Long::sum));
+            i.router.counters().forEach((name, n) -> all.merge(name, n, Long::sum));
         }
         return all;
     }
--- a/src/main/java/crankspar/pg/PgFront.java
+++ b/src/main/java/crankspar/pg/PgFront.java
@@ -110,7 +110,7 @@
     }
     boolean inSession = freshness == Freshness.SESSION || freshness == Freshness.WRITE;
     double mark = s.names().containsKey("after") ? s.number("after") : Double.NaN;
-    double deadline = since + Math.min(s.number("d"), c.giveUp());
+    double deadline = since + Math.min(s.number("d"), c.timeout());
     var ask =
         new Ports.Ask<>(
             kind, deadline, inSession ? s.key() : null, mark, (int) s.number("cluster"), s);
--- a/src/main/java/crankspar/policy/Balance.java
+++ b/src/main/java/crankspar/policy/Balance.java
@@ -47,8 +47,8 @@
   @Override
   public void onStart(double at) {
     now = at;
-    if (settings.askDiscovery()) {
-      actions.watch(true);
+    if (settings.watchDiscovery()) {
+      actions.watchDiscovery(true);
     }
     after(PERIOD, this::everyPeriod);
   }
@@ -67,9 +67,9 @@
   public void onWatchLost(double at) {
     now = at;
     double wait = askGap * (0.5 + random.nextDouble());
-    double most = Math.min(ASK_MOST, settings.rules().askEvery() / 4);
+    double most = Math.min(ASK_MOST, settings.guarantees().maxDiscoveryGap() / 4);
     askGap = Math.min(2 * askGap, Math.max(ASK_FIRST, most));
-    after(wait, () -> actions.watch(true));
+    after(wait, () -> actions.watchDiscovery(true));
   }
 
   @Override
@@ -83,7 +83,7 @@
           .forEach(
               db -> {
                 db.listed = false;
-                db.usable &= settings.rules().softRemoval();
+                db.usable &= settings.guarantees().softRemoval();
               });
     }
     for (Member m : members) {
@@ -104,7 +104,7 @@
     if (w.kind.repeat() == Repeat.SAFE
         && !w.primaryOnly()
         && !stalls(w)
-        && (w.kind.lateShare() == 0 || HOLD * r.ttl() >= w.kind.aim())) {
+        && (w.kind.lateValueShare() == 0 || HOLD * r.ttl() >= w.kind.targetLatency())) {
       after(
           HOLD * r.ttl(),
           () -> {
@@ -145,17 +145,17 @@
   boolean hopeless(Work w) {
     double best =
         w.group.members.stream().filter(m -> m.usable).mapToDouble(m -> m.strain).min().orElse(0);
-    return w.out.isEmpty() && w.end - now < SLACK * best * w.kind.aim();
+    return w.out.isEmpty() && w.end - now < SLACK * best * w.kind.targetLatency();
   }
 
   /** Every send passes here: the guards for the rules. */
   boolean send(Work w, Db db) {
     boolean again = w.mayHaveRun || !w.out.isEmpty();
     boolean wrongPlace = !db.usable || db.entry.group() != w.request.group();
-    boolean tooLate = w.done || w.tries >= settings.limits().mostTries() || now >= w.end;
+    boolean tooLate = w.done || w.tries >= settings.limits().maxAttempts() || now >= w.end;
     boolean copy =
         !w.out.isEmpty()
-            && (!settings.limits().secondCopies() || w.out.stream().anyMatch(a -> a.db == db));
+            && (!settings.limits().hedging() || w.out.stream().anyMatch(a -> a.db == db));
     boolean stale = strict && w.rank > 0 && db.position < need(w) && !db.wasPrimary;
     if (wrongPlace || tooLate || copy || stale || again && (!repeatable(w) || extra < 1)) {
       return false;
@@ -175,7 +175,7 @@
     db.out.add(a);
     db.credit -= cold(db) ? 1 : 0;
     w.group.line.remove(w);
-    actions.send(w.request.id(), db.id, w.kind.lateShare() > 0 ? 0 : w.end - now);
+    actions.send(w.request.id(), db.id, w.kind.lateValueShare() > 0 ? 0 : w.end - now);
     return true;
   }
 
@@ -211,7 +211,7 @@
     } else if (!w.mayHaveRun && w.out.isEmpty()) {
       w.risk = Double.POSITIVE_INFINITY;
     }
-    if (o.over() || w.done) {
+    if (o.requestDone() || w.done) {
       finish(w);
     } else {
       goOn(w, db, o.status());
@@ -230,7 +230,7 @@
     }
     if (now >= w.end
         || w.mayHaveRun && !repeatable(w)
-        || w.tries >= settings.limits().mostTries()) {
+        || w.tries >= settings.limits().maxAttempts()) {
       giveUp(w);
       return;
     }
@@ -248,7 +248,7 @@
     boolean harmless =
         w.kind.repeat() == Repeat.SAFE
             || !w.mayHaveRun && w.out.isEmpty()
-            || w.kind.repeat() == Repeat.KEYED && w.kind.scope() == DedupScope.ALL;
+            || w.kind.repeat() == Repeat.KEYED && w.kind.dedupScope() == DedupScope.ALL;
     finish(w);
     if (harmless) {
       actions.refuse(w.request.id(), settings.limits().maxRetryAfter());
@@ -273,14 +273,14 @@
   }
 
   void cancel(Attempt a) {
-    if (settings.limits().cancelling() && !a.cancelled) {
+    if (settings.limits().cancellation() && !a.cancelled) {
       a.given = a.cancelled = true;
       actions.cancel(a.work.request.id(), a.number);
     }
   }
 
   @Override
-  public void onGone(double at, String request) {
+  public void onClientGone(double at, String request) {
     now = at;
     Optional.ofNullable(works.get(request)).ifPresent(this::finish);
   }
@@ -320,9 +320,9 @@
   void watchFor(Db db) {
     double owed = db.owed;
     Attempt oldest = db.out.get(0);
-    boolean quiet = quiet(oldest) > SILENT_SHARE * oldest.work.kind.aim();
+    boolean quiet = quiet(oldest) > SILENT_SHARE * oldest.work.kind.targetLatency();
     for (Attempt a : new ArrayList<>(db.out)) {
-      double one = quiet(a) / Math.max(TICK, db.strain * a.work.kind.aim());
+      double one = quiet(a) / Math.max(TICK, db.strain * a.work.kind.targetLatency());
       owed += one;
       if (a.trial && one > TRIAL_OWED) {
         rescue(a, false);
@@ -358,7 +358,7 @@
       return;
     }
     w.avoid.add(a.db);
-    if (settings.limits().secondCopies()) {
+    if (settings.limits().hedging()) {
       a.given = true;
       w.group.line.add(w);
     } else {
--- a/src/main/java/crankspar/policy/Known.java
+++ b/src/main/java/crankspar/policy/Known.java
@@ -166,8 +166,10 @@
       rank = kind.freshness() == Freshness.WRITE ? 0 : 1;
       end =
           now
-              - settings.round()
-              + (kind.lateShare() > 0 ? request.ttl() : Math.min(kind.aim(), request.ttl()));
+              - settings.batchInterval()
+              + (kind.lateValueShare() > 0
+                  ? request.ttl()
+                  : Math.min(kind.targetLatency(), request.ttl()));
     }
 
     boolean primaryOnly() {
@@ -205,16 +207,16 @@
     this.settings = settings;
     this.actions = actions;
     random = new Random(settings.seed());
-    strict = settings.behind() == Behind.ANSWERS;
+    strict = settings.laggingRead() == LaggingRead.ANSWERS;
     tightest =
         settings.classes().stream()
             .filter(c -> c.freshness() == Freshness.BOUNDED)
-            .mapToDouble(RequestClass::bound)
+            .mapToDouble(RequestClass::stalenessBound)
             .min()
             .orElse(UNHEARD);
-    many = sparse = settings.siblings() > LEAST;
-    least = Math.max(1, LEAST / settings.siblings());
-    scale = Math.max(1, settings.siblings() / LEAST);
+    many = sparse = settings.instanceCount() > LEAST;
+    least = Math.max(1, LEAST / settings.instanceCount());
+    scale = Math.max(1, settings.instanceCount() / LEAST);
     zoneOrder = new ArrayList<>(settings.zones());
   }
 
@@ -243,7 +245,7 @@
     db.entry = m;
     db.drained = m.health() == Health.DRAINING || db.drained && m.health() == Health.GONE;
     db.listed = m.health() != Health.GONE;
-    db.usable = m.health() == Health.RUNNING || settings.rules().softRemoval() && !db.drained;
+    db.usable = m.health() == Health.RUNNING || settings.guarantees().softRemoval() && !db.drained;
     if (m.lastStart() > Math.max(db.startTold, Math.max(0, db.coldSince))) {
       db.startTold = m.lastStart(); // by the wall clock, which may have stepped ahead of ours
       db.coldSince = Math.min(m.lastStart(), now);
@@ -278,6 +280,6 @@
   }
 
   double firstLimit() {
-    return Math.max(least, sparse || !many ? FIRST_LIMIT / settings.siblings() : FIRST_LIMIT);
+    return Math.max(least, sparse || !many ? FIRST_LIMIT / settings.instanceCount() : FIRST_LIMIT);
   }
 }
--- a/src/main/java/crankspar/policy/Limits.java
+++ b/src/main/java/crankspar/policy/Limits.java
@@ -96,11 +96,11 @@
         Math.min(EXTRA_MOST, probes + PROBE_COST / Math.max(PROBE_COST, settings.prices().probe()));
     double price = Math.max(NEEDED_PROBE_COST, settings.prices().probe());
     neededProbes = Math.min(EXTRA_MOST, neededProbes + NEEDED_PROBE_COST / price);
-    Guarantees rules = settings.rules();
+    Guarantees rules = settings.guarantees();
     for (Db db : g.members) {
       if (cold(db)) {
         double grown = db.lost ? 0 : Math.max(0, now - db.coldSince) / rules.rampTime();
-        double able = rules.coldFrom() + (1 - rules.coldFrom()) * grown;
+        double able = rules.initialColdShare() + (1 - rules.initialColdShare()) * grown;
         double share = Math.min(1, COLD_SHARE * rules.fallMultiple()) * able / g.members.size();
         db.credit = Math.min(COLD_MOST, db.credit + share);
       }
@@ -108,7 +108,7 @@
   }
 
   boolean cold(Db db) {
-    return db.lost || now - db.coldSince < settings.rules().rampTime();
+    return db.lost || now - db.coldSince < settings.guarantees().rampTime();
   }
 
   /**
--- a/src/main/java/crankspar/policy/Outcomes.java
+++ b/src/main/java/crankspar/policy/Outcomes.java
@@ -32,7 +32,7 @@
         a.work.group.unanswered = 0;
         db.errors *= 1 - weight(db);
         db.trialGap = db.erring() ? db.trialGap : TRIAL_FIRST * scale;
-        measure(db, o.elapsed(), kind.aim());
+        measure(db, o.elapsed(), kind.targetLatency());
       }
       case ERROR -> {
         db.errors += Math.max(2 * FRESH_WEIGHT, weight(db)) * (1 - db.errors);
@@ -52,8 +52,9 @@
         if (o.status() == Status.TIMEOUT) {
           lower(db, a.work.group);
         }
-        if (o.elapsed() > db.strain * kind.aim()) {
-          measure(db, o.elapsed(), kind.aim()); // at least: it would have come later still
+        if (o.elapsed() > db.strain * kind.targetLatency()) {
+          measure(
+              db, o.elapsed(), kind.targetLatency()); // at least: it would have come later still
         }
       }
       case CONNECT_FAILED -> {
@@ -95,10 +96,11 @@
 
   private void unanswered(Db db, RequestClass kind, Outcome o) {
     if (!sparse) {
-      db.ghosts.add(now + db.strain * kind.aim()); // it may run on, and crowd what comes after it
+      db.ghosts.add(
+          now + db.strain * kind.targetLatency()); // it may run on, and crowd what comes after it
     }
     if (now - db.heard > o.elapsed()) {
-      db.owed += Math.min(OWED / 2, o.elapsed() / Math.max(TICK, db.strain * kind.aim()));
+      db.owed += Math.min(OWED / 2, o.elapsed() / Math.max(TICK, db.strain * kind.targetLatency()));
     }
   }
 }
--- a/src/main/java/crankspar/policy/Positions.java
+++ b/src/main/java/crankspar/policy/Positions.java
@@ -68,7 +68,7 @@
 
   double need(Work w) {
     boolean bounded = w.kind.freshness() == Freshness.BOUNDED;
-    return bounded ? Math.max(now + w.group.ahead - w.kind.bound(), w.need) : w.need;
+    return bounded ? Math.max(now + w.group.ahead - w.kind.stalenessBound(), w.need) : w.need;
   }
 
   /**
@@ -102,7 +102,7 @@
     if (!asksForPositions() || need(w) == Double.NEGATIVE_INFINITY) {
       return false;
     }
-    w.askUntil = w.askUntil == 0 ? now + ASK_SHARE * w.kind.aim() : w.askUntil;
+    w.askUntil = w.askUntil == 0 ? now + ASK_SHARE * w.kind.targetLatency() : w.askUntil;
     if (now >= w.askUntil) {
       return false;
     }
--- a/src/main/java/crankspar/policy/Primary.java
+++ b/src/main/java/crankspar/policy/Primary.java
@@ -62,7 +62,7 @@
     if (risky
         || g.scout != null
         || now < g.roundAt
-        || w.tries + 2 > settings.limits().mostTries()) {
+        || w.tries + 2 > settings.limits().maxAttempts()) {
       return null;
     }
     for (int i = 0; i < g.members.size(); i++) {
--- a/src/main/java/crankspar/policy/Reads.java
+++ b/src/main/java/crankspar/policy/Reads.java
@@ -115,19 +115,19 @@
    * role.
    */
   @Override
-  public void onHearsay(double at, List<Told> what) {
+  public void onPeerReports(double at, List<PeerReport> what) {
     now = at;
     if (sparse == what.get(0).inFlight() >= 0) { // bounds hold for all in flight while that is told
       sparse = !sparse;
-      least = sparse ? Math.max(1, LEAST / settings.siblings()) : LEAST;
+      least = sparse ? Math.max(1, LEAST / settings.instanceCount()) : LEAST;
       dbs.values().forEach(db -> db.limit = firstLimit());
     }
-    for (Told h : what) {
+    for (PeerReport h : what) {
       Db db = dbs.get(h.member()); // one that the own list has not named is none of ours
       if (db != null && h.position() < now + groups.get(db.entry.group()).ahead + UNHEARD) {
-        if (h.at() > db.told) {
+        if (h.heardAt() > db.told) {
           back(db);
-          db.told = h.at();
+          db.told = h.heardAt();
         }
         db.position = Math.max(db.position, h.position());
         noteRole(db, h.role(), h.position());
@@ -184,7 +184,7 @@
    * furthest behind, so that the others stay fresh; all instances see the same one. Harm: it waits.
    */
   boolean stalls(Work w) {
-    return w.kind.freshness() == Freshness.ANY && w.kind.aim() * STRAIN > tightest;
+    return w.kind.freshness() == Freshness.ANY && w.kind.targetLatency() * STRAIN > tightest;
   }
 
   Db furthestBehind(Work w) {
--- a/src/main/java/crankspar/pooling/PoolingFront.java
+++ b/src/main/java/crankspar/pooling/PoolingFront.java
@@ -74,13 +74,13 @@
     /** Session marks are kept here, by client, and carried with each request; {@code servers} bounds connections to servers. */
     public static Parts build(EventLoop loop, Router.Settings settings, Counters counters, Ports.Discovery discovery,
                               BiFunction<Router.Settings, Router.Actions, Router> maker, Setup setup, int servers) {
-        var carried = new Router.Settings(settings.seed(), settings.zone(), settings.zones(), settings.me(), settings.siblings(),
-                settings.round(), settings.askDiscovery(), settings.classes(), settings.behind(), settings.patience(),
-                settings.roleInList(), Router.SessionMarks.CARRIED, settings.tellsPosition(), settings.commitWaits(),
-                settings.countedFrom(), settings.reports(), settings.rules(), settings.limits(), settings.prices());
-        var probes = new Pool<>(loop, counters, () -> PgFront.dial(counters), PgFront.probe(), settings.limits().dialTimeout(),
-                settings.limits().connIdle(), Math.max(16, servers / 10));
-        var connections = new Servers(loop, counters, probes, setup, settings.limits().dialTimeout(), servers,
+        var carried = new Router.Settings(settings.seed(), settings.zone(), settings.zones(), settings.instanceIndex(), settings.instanceCount(),
+                settings.batchInterval(), settings.watchDiscovery(), settings.classes(), settings.laggingRead(), settings.patience(),
+                settings.roleInList(), Router.SessionMarks.CARRIED, settings.reportsPosition(), settings.commitWaits(),
+                settings.positionEpoch(), settings.reports(), settings.guarantees(), settings.limits(), settings.prices());
+        var probes = new Pool<>(loop, counters, () -> PgFront.dial(counters), PgFront.probe(), settings.limits().connectTimeout(),
+                settings.limits().connectionIdleTimeout(), Math.max(16, servers / 10));
+        var connections = new Servers(loop, counters, probes, setup, settings.limits().connectTimeout(), servers,
                 new java.util.SplittableRandom(settings.seed()));
         var core = new Pooler<>(carried, loop, connections, discovery, counters, maker);
         return new Parts(new PoolingFront(loop, carried, counters, core, connections, setup), core, connections);
--- a/src/main/java/crankspar/pooling/Route.java
+++ b/src/main/java/crankspar/pooling/Route.java
@@ -87,7 +87,7 @@
               + " has a bound on its age, which a session on one connection cannot keep");
     }
     double ttl =
-        names.containsKey("d") ? Math.min(number(names, "d"), kind.giveUp()) : kind.giveUp();
+        names.containsKey("d") ? Math.min(number(names, "d"), kind.timeout()) : kind.timeout();
     double carried = names.containsKey("after") ? number(names, "after") : Double.NaN;
     double mark =
         Double.isNaN(carried)
--- a/src/main/java/crankspar/rest/RestFront.java
+++ b/src/main/java/crankspar/rest/RestFront.java
@@ -99,8 +99,8 @@
             counters,
             () -> dial(counters, loop),
             RestQuery.LOAD,
-            settings.limits().dialTimeout(),
-            settings.limits().connIdle(),
+            settings.limits().connectTimeout(),
+            settings.limits().connectionIdleTimeout(),
             servers);
     var pooler =
         new Pooler<RestQuery, RestAnswer>(settings, loop, pool, discovery, counters, maker);
@@ -152,11 +152,11 @@
         throw new Bad(
             405, "method", "The method is not allowed here", write ? "only POST" : "only GET");
       }
-      double ttl = number(call.head(), "request-deadline-ms", c.giveUp());
+      double ttl = number(call.head(), "request-deadline-ms", c.timeout());
       if (ttl < 1) {
         throw new Bad(400, "bad-header", "Request-Deadline-Ms is out of range", "at least 1");
       }
-      double deadline = call.since() + Math.min(ttl, c.giveUp());
+      double deadline = call.since() + Math.min(ttl, c.timeout());
       if (write) {
         write(call, session, kind, Integer.parseInt(parts[3]), deadline);
       } else {
@@ -199,7 +199,7 @@
             key,
             limit,
             after,
-            c.freshness() == Freshness.BOUNDED ? c.bound() : Double.POSITIVE_INFINITY,
+            c.freshness() == Freshness.BOUNDED ? c.stalenessBound() : Double.POSITIVE_INFINITY,
             positioned ? mark : Double.NaN,
             null,
             null);
--- a/src/test/java/crankspar/BalanceLoadTest.java
+++ b/src/test/java/crankspar/BalanceLoadTest.java
@@ -368,7 +368,7 @@
       f.end("good" + i, Status.OK, Role.REPLICA, 5);
       assertEquals("a", f.ask("bad" + i, ANY));
       f.end("bad" + i, i % 2 == 0 ? Status.RESET : Status.CONNECT_FAILED, Role.UNKNOWN, 0);
-      f.module.onGone(f.now, "bad" + i);
+      f.module.onClientGone(f.now, "bad" + i);
     }
   }
 
--- a/src/test/java/crankspar/BalanceTest.java
+++ b/src/test/java/crankspar/BalanceTest.java
@@ -99,7 +99,7 @@
   void unheardReplicasAreProbedWhereProbesTellPositions() {
     Fake f = new Fake();
     f.reports = Router.Reports.IN_PROBES;
-    f.behind = Router.Behind.REFUSES;
+    f.behind = Router.LaggingRead.REFUSES;
     f.start(member("p", "far"), member("a", "near"));
     f.at(1500);
     assertTrue(f.did("probe a"));
@@ -108,7 +108,7 @@
   @Test
   void aReplicaThatChecksMayTakeABoundedReadUnheard() {
     Fake f = new Fake();
-    f.behind = Router.Behind.REFUSES;
+    f.behind = Router.LaggingRead.REFUSES;
     f.start(member("a", "near"));
     assertEquals("a", f.ask("r", BROWSE));
     f.end("r", Status.MISS, Role.REPLICA, 9000);
@@ -182,7 +182,7 @@
     f.module.onRequest(f.now, new Router.Request("x", ANY, 700, null, -1, 99));
     f.module.onMembers(f.now, ListKind.FULL, List.of());
     f.module.onTimer(f.now, 424242);
-    f.module.onGone(f.now, "never");
+    f.module.onClientGone(f.now, "never");
     f.module.onOutcome(
         f.now, new Router.Outcome("never", 0, "a", Status.OK, 1, true, Role.PRIMARY, f.now));
     f.at(4000);
--- a/src/test/java/crankspar/BenchLinkTest.java
+++ b/src/test/java/crankspar/BenchLinkTest.java
@@ -43,7 +43,7 @@
 
     @Override
     public void onStart(double now) {
-      actions.watch(true);
+      actions.watchDiscovery(true);
     }
 
     @Override
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void onGone(double now, String request) {
+    public void onClientGone(double now, String request) {
       seen.add("gone " + request);
     }
 
@@ -123,17 +123,17 @@
             "zone=z1",
             "keyTtl=900.5",
             "repeat=KEYED",
-            "scope=GROUP",
-            "bound=500",
-            "behind=WAITS",
+            "dedupScope=GROUP",
+            "stalenessBound=500",
+            "laggingRead=WAITS",
             "patience=20",
             "roleInList=AT_START",
             "sessionMarks=CARRIED",
             "commitWaits=true",
             "reports=IN_PROBES",
-            "mostTries=7",
-            "secondCopies=true",
-            "askDiscovery=true",
+            "maxAttempts=7",
+            "hedging=true",
+            "watchDiscovery=true",
             "fallMultiple=2.5")) {
       assertTrue(seen.get(0).contains(part), part + " in " + seen.get(0));
     }
@@ -171,8 +171,8 @@
                 + "machine=std, lastStart=6100.0], Member[id=y:1, zone=z2, listedPrimary=false, capacityHint=1.0, "
                 + "health=DRAINING, group=11, machine=, lastStart=0.0]]",
             "lost",
-            "Outcome[request=t/b, number=0, member=x:1, status=OK, elapsed=18.5, over=true, role=REPLICA, position=7371.5]",
-            "Outcome[request=t/b, number=1, member=x:1, status=MISS, elapsed=1.0, over=false, role=UNKNOWN, position=NaN]",
+            "Outcome[request=t/b, number=0, member=x:1, status=OK, elapsed=18.5, requestDone=true, role=REPLICA, position=7371.5]",
+            "Outcome[request=t/b, number=1, member=x:1, status=MISS, elapsed=1.0, requestDone=false, role=UNKNOWN, position=NaN]",
             "ProbeResult[member=x:1, ok=true, elapsed=1.4, role=PRIMARY, position=3500.5]",
             "gone t/c",
             "timer 77"),
--- a/src/test/java/crankspar/Fake.java
+++ b/src/test/java/crankspar/Fake.java
@@ -12,7 +12,7 @@
   final TreeMap<Double, List<Long>> timers = new TreeMap<>();
   final List<String> tries = new ArrayList<>();
   final java.util.Map<String, Integer> numbers = new java.util.HashMap<>();
-  Router.Behind behind = Router.Behind.ANSWERS;
+  Router.LaggingRead behind = Router.LaggingRead.ANSWERS;
   Router.RoleInList roleInList = Router.RoleInList.NEVER;
   Router.SessionMarks sessionMarks = Router.SessionMarks.REMEMBERED;
   Router.Reports reports = Router.Reports.NONE;
@@ -190,7 +190,7 @@
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchDiscovery(boolean on) {
     acts.add("watch " + on);
   }
 
--- a/src/test/java/crankspar/GossipStoryTest.java
+++ b/src/test/java/crankspar/GossipStoryTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import crankspar.Router.PeerReport;
 import crankspar.Router.Role;
-import crankspar.Router.Told;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -28,21 +28,21 @@
     fleet().at(900);
     assertThat(fake.ask("old", Fake.BROWSE))
         .isEqualTo("p"); // its own word on r is older than the bound
-    fake.module.onHearsay(
-        fake.now, List.of(new Told("r", Role.REPLICA, fake.now - 60, fake.now, 0)));
+    fake.module.onPeerReports(
+        fake.now, List.of(new PeerReport("r", Role.REPLICA, fake.now - 60, fake.now, 0)));
     assertThat(fake.ask("new", Fake.BROWSE)).isEqualTo("r");
   }
 
   @Test
   void anOlderWordNeverLowersAPositionNorUndoesARole() {
     fleet().at(900);
-    fake.module.onHearsay(
-        fake.now, List.of(new Told("r", Role.REPLICA, fake.now - 60, fake.now, 0)));
-    fake.module.onHearsay(
+    fake.module.onPeerReports(
+        fake.now, List.of(new PeerReport("r", Role.REPLICA, fake.now - 60, fake.now, 0)));
+    fake.module.onPeerReports(
         fake.now,
         List.of(
-            new Told("r", Role.PRIMARY, fake.now - 5000, fake.now, 0),
-            new Told("p", Role.REPLICA, fake.now - 5000, fake.now, 0)));
+            new PeerReport("r", Role.PRIMARY, fake.now - 5000, fake.now, 0),
+            new PeerReport("p", Role.REPLICA, fake.now - 5000, fake.now, 0)));
     assertThat(fake.ask("read", Fake.BROWSE)).isEqualTo("r");
     assertThat(fake.ask("write", Fake.WRITE)).isEqualTo("p");
   }
@@ -50,21 +50,23 @@
   @Test
   void aNewPrimaryIsFollowedOnAPeersWord() {
     fleet().at(900);
-    fake.module.onHearsay(
-        fake.now, List.of(new Told("r", Role.PRIMARY, fake.now - 60, fake.now, 0)));
+    fake.module.onPeerReports(
+        fake.now, List.of(new PeerReport("r", Role.PRIMARY, fake.now - 60, fake.now, 0)));
     assertThat(fake.ask("write", Fake.WRITE)).isEqualTo("r");
   }
 
   @Test
   void noMemberIsSentToThatTheOwnListHasNotNamed() {
     fleet().at(900);
-    fake.module.onHearsay(fake.now, List.of(new Told("q", Role.PRIMARY, fake.now, fake.now, 0)));
+    fake.module.onPeerReports(
+        fake.now, List.of(new PeerReport("q", Role.PRIMARY, fake.now, fake.now, 0)));
     assertThat(fake.ask("write", Fake.WRITE)).isEqualTo("p");
     assertThat(fake.ask("read", Fake.BROWSE)).isNotEqualTo("q");
   }
 
   private void told(String member, Role role, double ago) {
-    fake.module.onHearsay(fake.now, List.of(new Told(member, role, fake.now - ago, fake.now, 0)));
+    fake.module.onPeerReports(
+        fake.now, List.of(new PeerReport(member, role, fake.now - ago, fake.now, 0)));
   }
 
   /**
@@ -177,16 +179,17 @@
   @Test
   void aMemberThatPeersKeepBusyGetsNoMore() {
     fleet().at(400);
-    fake.module.onHearsay(
+    fake.module.onPeerReports(
         fake.now,
         List.of(
-            new Told("r", Role.REPLICA, fake.now - 10, fake.now, 30),
-            new Told("p", Role.PRIMARY, fake.now - 10, fake.now, 30)));
+            new PeerReport("r", Role.REPLICA, fake.now - 10, fake.now, 30),
+            new PeerReport("p", Role.PRIMARY, fake.now - 10, fake.now, 30)));
     assertThat(fake.ask("waits", Fake.BROWSE)).isNull();
-    fake.module.onHearsay(
+    fake.module.onPeerReports(
         fake.now,
         List.of(
-            new Told("r", Role.UNKNOWN, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY, 1)));
+            new PeerReport(
+                "r", Role.UNKNOWN, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY, 1)));
     assertThat(fake.tries)
         .as("room is news, and the line moves at once")
         .last()
@@ -202,10 +205,11 @@
     fleet().at(400);
     told("r", Role.REPLICA, 10);
     told("p", Role.PRIMARY, 10);
-    fake.module.onHearsay(
+    fake.module.onPeerReports(
         fake.now,
         List.of(
-            new Told("r", Role.UNKNOWN, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY, -1)));
+            new PeerReport(
+                "r", Role.UNKNOWN, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY, -1)));
     int sent = 0;
     for (int i = 0; i < 40; i++) { // each is late: own answers' times are all there is to go by
       fake.at(400 + 20 * i);
@@ -229,11 +233,11 @@
     fake.hear("p", Role.PRIMARY, 0);
     int there = 0;
     for (int i = 0; i < 40; i++) {
-      fake.module.onHearsay(
+      fake.module.onPeerReports(
           fake.now,
           List.of(
-              new Told("a", Role.REPLICA, fake.now, fake.now, 4),
-              new Told("b", Role.REPLICA, fake.now, fake.now, 0)));
+              new PeerReport("a", Role.REPLICA, fake.now, fake.now, 4),
+              new PeerReport("b", Role.REPLICA, fake.now, fake.now, 0)));
       there += "b".equals(fake.ask("r" + i, Fake.BROWSE)) ? 1 : 0;
       fake.end("r" + i, Router.Status.OK, Role.REPLICA, 0);
     }
--- a/src/test/java/crankspar/PositionsTest.java
+++ b/src/test/java/crankspar/PositionsTest.java
@@ -147,8 +147,9 @@
 
   @Test
   void wherePeersTellPositionsNoneIsAskedFor() {
-    fake.module.onHearsay(
-        fake.now, java.util.List.of(new Router.Told("p", Role.PRIMARY, fake.now, fake.now, 0)));
+    fake.module.onPeerReports(
+        fake.now,
+        java.util.List.of(new Router.PeerReport("p", Role.PRIMARY, fake.now, fake.now, 0)));
     strain();
     fake.ask("b", Fake.BROWSE);
     assertThat(probes()).isZero();
--- a/src/test/java/crankspar/PropertyTest.java
+++ b/src/test/java/crankspar/PropertyTest.java
@@ -69,8 +69,8 @@
       boolean safe = o.kind.repeat() == Repeat.SAFE;
       assertTrue(!o.over && now < o.deadline, "sent after its end");
       assertTrue(!draining.contains(member), "sent to a draining member");
-      assertTrue(o.tries < settings.limits().mostTries(), "too many tries");
-      assertTrue(o.out == 0 || settings.limits().secondCopies(), "two at once");
+      assertTrue(o.tries < settings.limits().maxAttempts(), "too many tries");
+      assertTrue(o.out == 0 || settings.limits().hedging(), "two at once");
       if (!safe && (o.ran || o.out > 0)) {
         assertEquals(Repeat.KEYED, o.kind.repeat(), "an unsafe one that may have run was repeated");
         assertTrue(now - o.firstRisk < o.kind.keyTtl(), "repeated past its key's time");
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void watch(boolean on) {}
+    public void watchDiscovery(boolean on) {}
 
     @Override
     public void log(String text) {}
@@ -166,7 +166,7 @@
         var o = new PendingRequest();
         int kind = random.nextInt(settings.classes().size());
         o.kind = settings.classes().get(kind);
-        double ttl = o.kind.giveUp() * (0.4 + 0.6 * random.nextDouble());
+        double ttl = o.kind.timeout() * (0.4 + 0.6 * random.nextDouble());
         o.deadline = now + ttl;
         owed.put(id, o);
         module.onRequest(now, new Router.Request(id, kind, ttl, "s" + random.nextInt(5), -1, 1));
@@ -181,7 +181,7 @@
         boolean binds =
             health == Health.DRAINING
                 || health == Health.GONE
-                    && (!settings.rules().softRemoval() || draining.contains(id));
+                    && (!settings.guarantees().softRemoval() || draining.contains(id));
         if (binds) {
           draining.add(id);
         } else {
@@ -197,7 +197,7 @@
             now,
             new Outcome(
                 s.request(), s.number(), s.member(), Status.OK, 5, true, Role.UNKNOWN, Double.NaN));
-        module.onGone(now, "never");
+        module.onClientGone(now, "never");
         module.onTimer(now, -1);
         module.onProbe(
             now, new Router.ProbeResult(s.member(), random.nextBoolean(), 1, Role.REPLICA, now));
@@ -213,7 +213,7 @@
     fake.soft = seed % 3 == 0;
     fake.siblings = seed % 4 < 2 ? 3 : 60;
     fake.writes = seed % 5 == 0 ? Repeat.UNSAFE : Repeat.KEYED;
-    fake.behind = seed % 7 < 4 ? Router.Behind.ANSWERS : Router.Behind.WAITS;
+    fake.behind = seed % 7 < 4 ? Router.LaggingRead.ANSWERS : Router.LaggingRead.WAITS;
     return fake;
   }
 
--- a/src/test/java/crankspar/ReplayTest.java
+++ b/src/test/java/crankspar/ReplayTest.java
@@ -75,7 +75,7 @@
             world,
             GossipReceiver.before(
                 (settings, actions) -> {
-                  if (settings.me() != 0 || trace[0] != null) {
+                  if (settings.instanceIndex() != 0 || trace[0] != null) {
                     return new Balance(settings, actions);
                   }
                   trace[0] = new Trace(actions);
--- a/src/test/java/crankspar/Trace.java
+++ b/src/test/java/crankspar/Trace.java
@@ -84,7 +84,7 @@
             o.member(),
             o.status(),
             o.elapsed(),
-            o.over(),
+            o.requestDone(),
             o.role(),
             o.position());
         module.onOutcome(now, o);
@@ -97,17 +97,17 @@
       }
 
       @Override
-      public void onHearsay(double now, List<Told> what) {
+      public void onPeerReports(double now, List<PeerReport> what) {
         into.line("hearsay", now, what.size());
         what.forEach(
-            t -> into.line("told", t.member(), t.role(), t.position(), t.at(), t.inFlight()));
-        module.onHearsay(now, what);
+            t -> into.line("told", t.member(), t.role(), t.position(), t.heardAt(), t.inFlight()));
+        module.onPeerReports(now, what);
       }
 
       @Override
-      public void onGone(double now, String request) {
+      public void onClientGone(double now, String request) {
         into.line("gone", now, request);
-        module.onGone(now, request);
+        module.onClientGone(now, request);
       }
 
       @Override
@@ -174,12 +174,12 @@
                 new Router.ProbeResult(
                     f[2], Boolean.parseBoolean(f[3]), num(f[4]), Role.valueOf(f[5]), num(f[6])));
         case "hearsay" ->
-            module.onHearsay(
+            module.onPeerReports(
                 now,
                 lines.subList(i + 1, i + 1 + Integer.parseInt(f[2])).stream()
                     .map(Trace::told)
                     .toList());
-        case "gone" -> module.onGone(now, f[2]);
+        case "gone" -> module.onClientGone(now, f[2]);
         case "timer" -> module.onTimer(now, Long.parseLong(f[2]));
         default -> {} // an action, or a line that its event has read
       }
@@ -204,9 +204,10 @@
         num(f[8]));
   }
 
-  private static Router.Told told(String line) {
+  private static Router.PeerReport told(String line) {
     String[] f = line.split("\t", -1);
-    return new Router.Told(f[1], Role.valueOf(f[2]), num(f[3]), num(f[4]), Integer.parseInt(f[5]));
+    return new Router.PeerReport(
+        f[1], Role.valueOf(f[2]), num(f[3]), num(f[4]), Integer.parseInt(f[5]));
   }
 
   /** Where two texts part: the line and its number, or null. */
@@ -276,10 +277,10 @@
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchDiscovery(boolean on) {
     did("watch", on);
     if (to != null) {
-      to.watch(on);
+      to.watchDiscovery(on);
     }
   }
 
--- a/src/test/java/crankspar/core/LastCheckTest.java
+++ b/src/test/java/crankspar/core/LastCheckTest.java
@@ -56,7 +56,7 @@
     public void onProbe(double now, ProbeResult r) {}
 
     @Override
-    public void onGone(double now, String request) {}
+    public void onClientGone(double now, String request) {}
 
     @Override
     public void onTimer(double now, long cookie) {}
--- a/src/test/java/crankspar/core/PoolerFixture.java
+++ b/src/test/java/crankspar/core/PoolerFixture.java
@@ -71,8 +71,8 @@
     @Override
     public void onOutcome(double now, Outcome o) {
       heardPosition = o.position();
-      enter(o.status() + (o.over() ? " over" : ""));
-      if (!o.over()) {
+      enter(o.status() + (o.requestDone() ? " over" : ""));
+      if (!o.requestDone()) {
         act(
             () -> {
               if (o.status() == Status.MISS) {
@@ -88,7 +88,7 @@
     public void onProbe(double now, ProbeResult r) {}
 
     @Override
-    public void onGone(double now, String request) {
+    public void onClientGone(double now, String request) {
       enter("gone");
     }
 
--- a/src/test/java/crankspar/core/SecondCopyTest.java
+++ b/src/test/java/crankspar/core/SecondCopyTest.java
@@ -27,35 +27,35 @@
       Router.Limits l = s.limits();
       var limits =
           new Router.Limits(
-              l.mostTries(),
+              l.maxAttempts(),
               copies,
-              l.cancelling(),
+              l.cancellation(),
               l.probes(),
               l.retryAfter(),
               l.maxRetryAfter(),
-              l.dialTimeout(),
-              l.connIdle(),
-              l.maxOpen(),
-              l.mayTell());
+              l.connectTimeout(),
+              l.connectionIdleTimeout(),
+              l.maxConnections(),
+              l.peerMessages());
       var settings =
           new Router.Settings(
               s.seed(),
               s.zone(),
               s.zones(),
-              s.me(),
-              s.siblings(),
-              s.round(),
-              s.askDiscovery(),
+              s.instanceIndex(),
+              s.instanceCount(),
+              s.batchInterval(),
+              s.watchDiscovery(),
               s.classes(),
-              s.behind(),
+              s.laggingRead(),
               s.patience(),
               s.roleInList(),
               s.sessionMarks(),
-              s.tellsPosition(),
+              s.reportsPosition(),
               s.commitWaits(),
-              s.countedFrom(),
+              s.positionEpoch(),
               s.reports(),
-              s.rules(),
+              s.guarantees(),
               limits,
               s.prices());
       return new Pooler<>(
@@ -94,8 +94,8 @@
 
               @Override
               public void onOutcome(double now, Outcome o) {
-                told.add(o.member() + " " + o.status() + (o.over() ? " over" : ""));
-                if (o.over() && o.status() == Status.OK) {
+                told.add(o.member() + " " + o.status() + (o.requestDone() ? " over" : ""));
+                if (o.requestDone() && o.status() == Status.OK) {
                   actions.cancel(o.request(), 1 - o.number());
                 }
               }
--- a/src/test/java/crankspar/discovery/SixSecondsTest.java
+++ b/src/test/java/crankspar/discovery/SixSecondsTest.java
@@ -73,20 +73,20 @@
                   seed,
                   s.zone(),
                   s.zones(),
-                  s.me(),
-                  s.siblings(),
-                  s.round(),
-                  s.askDiscovery(),
+                  s.instanceIndex(),
+                  s.instanceCount(),
+                  s.batchInterval(),
+                  s.watchDiscovery(),
                   s.classes(),
-                  s.behind(),
+                  s.laggingRead(),
                   s.patience(),
                   s.roleInList(),
                   s.sessionMarks(),
-                  s.tellsPosition(),
+                  s.reportsPosition(),
                   s.commitWaits(),
-                  s.countedFrom(),
+                  s.positionEpoch(),
                   s.reports(),
-                  s.rules(),
+                  s.guarantees(),
                   s.limits(),
                   s.prices()),
               this);
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchDiscovery(boolean on) {
       step(new Event.Wanted(on));
     }
 
@@ -213,7 +213,7 @@
     public void probe(String member) {}
 
     @Override
-    public void tell(byte[] message) {}
+    public void broadcast(byte[] message) {}
 
     @Override
     public void log(String text) {}
--- a/src/test/java/crankspar/gossip/ClocksApartTest.java
+++ b/src/test/java/crankspar/gossip/ClocksApartTest.java
@@ -6,9 +6,9 @@
 import crankspar.Router.Health;
 import crankspar.Router.ListKind;
 import crankspar.Router.Member;
+import crankspar.Router.PeerReport;
 import crankspar.Router.Role;
 import crankspar.Router.Status;
-import crankspar.Router.Told;
 import crankspar.config.SettingsReader;
 import crankspar.json.Json;
 import crankspar.lab.LabSettings;
@@ -30,7 +30,7 @@
   /** A pooler's gossip: what it tells others, and what its module hears of theirs. */
   private static final class Pooler {
     final List<byte[]> sent = new ArrayList<>();
-    final List<Told> heard = new ArrayList<>();
+    final List<PeerReport> heard = new ArrayList<>();
     final Router gossip;
     private final List<Long> timers = new ArrayList<>();
 
@@ -52,8 +52,9 @@
           new Class<?>[] {type},
           (self, method, arguments) -> {
             switch (method.getName()) {
-              case "onHearsay" -> ((List<?>) arguments[1]).forEach(t -> heard.add((Told) t));
-              case "tell" -> sent.add((byte[]) arguments[0]);
+              case "onPeerReports" ->
+                  ((List<?>) arguments[1]).forEach(t -> heard.add((PeerReport) t));
+              case "broadcast" -> sent.add((byte[]) arguments[0]);
               case "setTimer" -> timers.add((Long) arguments[1]);
               default -> {}
             }
@@ -74,15 +75,16 @@
   void whatOneWithAnotherClockTellsCountsOnceTheDifferenceIsKnown() throws Exception {
     var right = new Pooler(1);
     var behind = new Pooler(2);
-    behind.gossip.onPeer(NOW - BEHIND, right.tells(NOW, NOW - 40));
+    behind.gossip.onPeerMessage(NOW - BEHIND, right.tells(NOW, NOW - 40));
     assertThat(behind.heard).as("not known yet").isEmpty();
     behind.gossip.onDatabaseClock(NOW - BEHIND, BEHIND);
     double later = NOW + 1000;
-    behind.gossip.onPeer(later + 60 - BEHIND, right.tells(later, later - 40));
+    behind.gossip.onPeerMessage(later + 60 - BEHIND, right.tells(later, later - 40));
     behind.gossip.onTimer(later + 70 - BEHIND, Long.MIN_VALUE); // whatever is looked at later
     assertThat(behind.heard).hasSize(1);
     assertThat(behind.heard.get(0).position()).isBetween(later - BEHIND - 140, later - BEHIND - 40);
-    right.gossip.onPeer(later + 2000, behind.tells(later + 1950 - BEHIND, later + 1900 - BEHIND));
+    right.gossip.onPeerMessage(
+        later + 2000, behind.tells(later + 1950 - BEHIND, later + 1900 - BEHIND));
     assertThat(right.heard).hasSize(1);
     assertThat(right.heard.get(0).position()).isBetween(later + 1800, later + 1900);
   }
--- a/src/test/java/crankspar/gossip/GossipServiceTest.java
+++ b/src/test/java/crankspar/gossip/GossipServiceTest.java
@@ -149,7 +149,7 @@
         .satisfies(
             t -> {
               assertThat(t.inFlight()).isZero();
-              assertThat(t.at()).as("no sign of life").isEqualTo(Double.NEGATIVE_INFINITY);
+              assertThat(t.heardAt()).as("no sign of life").isEqualTo(Double.NEGATIVE_INFINITY);
             });
   }
 
--- a/src/test/java/crankspar/lab/DrawnSettingsTest.java
+++ b/src/test/java/crankspar/lab/DrawnSettingsTest.java
@@ -52,9 +52,9 @@
       classes.add(
           new RequestClass(
               "class-" + i,
-              c.aim() * d.aims(),
-              c.aim() * d.aims() * d.patience(),
-              c.worth(),
+              c.targetLatency() * d.aims(),
+              c.targetLatency() * d.aims() * d.patience(),
+              c.value(),
               i % 2 == 0 ? 0.2 : 0,
               repeat,
               DedupScope.ALL,
@@ -62,28 +62,28 @@
               level,
               level == Freshness.BOUNDED ? d.bound() : 0));
     }
-    var r = s.rules();
+    var r = s.guarantees();
     var l = s.limits();
     return new Router.Settings(
         s.seed(),
         s.zone(),
         s.zones(),
-        s.me(),
-        s.siblings(),
-        s.round(),
-        s.askDiscovery(),
+        s.instanceIndex(),
+        s.instanceCount(),
+        s.batchInterval(),
+        s.watchDiscovery(),
         classes,
-        s.behind(),
+        s.laggingRead(),
         s.patience(),
         s.roleInList(),
         s.sessionMarks(),
-        s.tellsPosition(),
+        s.reportsPosition(),
         s.commitWaits(),
-        s.countedFrom(),
+        s.positionEpoch(),
         s.reports(),
         new Router.Guarantees(
             r.answerSlack(),
-            r.askEvery(),
+            r.maxDiscoveryGap(),
             d.coldFrom(),
             r.rampTime(),
             d.grace(),
@@ -92,15 +92,15 @@
             r.softRemoval()),
         new Router.Limits(
             d.tries(),
-            l.secondCopies(),
-            l.cancelling(),
+            l.hedging(),
+            l.cancellation(),
             l.probes(),
             l.retryAfter(),
             l.maxRetryAfter(),
-            l.dialTimeout(),
-            l.connIdle(),
-            l.maxOpen(),
-            l.mayTell()),
+            l.connectTimeout(),
+            l.connectionIdleTimeout(),
+            l.maxConnections(),
+            l.peerMessages()),
         s.prices());
   }
 
--- a/src/test/java/crankspar/net/HandedOverTest.java
+++ b/src/test/java/crankspar/net/HandedOverTest.java
@@ -150,7 +150,7 @@
     public void onOutcome(double now, Outcome o) {
       if (o.member().equals("a")) {
         actions.send(o.request(), "b", 0);
-      } else if (!o.over()) {
+      } else if (!o.requestDone()) {
         actions.fail(o.request());
       }
     }
@@ -159,7 +159,7 @@
     public void onProbe(double now, ProbeResult r) {}
 
     @Override
-    public void onGone(double now, String request) {}
+    public void onClientGone(double now, String request) {}
 
     @Override
     public void onTimer(double now, long cookie) {}
