--- a/src/main/java/crankspar/core/Attempt.java
+++ b/src/main/java/crankspar/core/Attempt.java
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public boolean wanted() {
+  public boolean stillWanted() {
     return attempts.wanted(this);
   }
 
@@ -48,12 +48,12 @@
   }
 
   @Override
-  public boolean began(A answer) {
-    return began(answer, owed.freshness() == Freshness.WRITE ? null : AttemptEnd.Note.NONE);
+  public boolean answerBegan(A answer) {
+    return began(answer, owed.freshness() == Freshness.WRITE ? null : AttemptEnd.MemberState.NONE);
   }
 
   @Override
-  public boolean held(A answer, AttemptEnd.Note note) {
+  public boolean answeredInTransaction(A answer, AttemptEnd.MemberState note) {
     return began(answer, attempts.plausible(note));
   }
 
@@ -62,13 +62,13 @@
    * other answer. A read's member has done its work by then, and slow readers must not make it look
    * silent; a write's outcome waits for the note behind its answer.
    */
-  private boolean began(A answer, AttemptEnd.Note tell) {
+  private boolean began(A answer, AttemptEnd.MemberState tell) {
     if (ended || owed.over || owed.begun != null) {
       return false;
     }
     written();
     owed.begun = this;
-    owed.reply.began(answer);
+    owed.reply.answerBegan(answer);
     attempts.begun(this, tell);
     return true;
   }
--- a/src/main/java/crankspar/core/AttemptEnd.java
+++ b/src/main/java/crankspar/core/AttemptEnd.java
@@ -10,15 +10,15 @@
  */
 public sealed interface AttemptEnd<A> {
   /** What the answer told of its member; NaN where it told no position (Unix ms). */
-  record Note(Role role, double position) {
-    public static final Note NONE = new Note(Role.UNKNOWN, Double.NaN);
+  record MemberState(Role role, double position) {
+    public static final MemberState NONE = new MemberState(Role.UNKNOWN, Double.NaN);
   }
 
   /** What the module hears of it. */
   Status status();
 
-  default Note note() {
-    return Note.NONE;
+  default MemberState memberState() {
+    return MemberState.NONE;
   }
 
   /** Whether its last byte has been handed to the system. */
@@ -31,7 +31,7 @@
     return false;
   }
 
-  record Served<A>(A answer, Note note) implements AttemptEnd<A> {
+  record Served<A>(A answer, MemberState memberState) implements AttemptEnd<A> {
     @Override
     public Status status() {
       return Status.OK;
@@ -39,7 +39,7 @@
   }
 
   /** Turned away for its role or for how far it lags; nothing ran. */
-  record Missed<A>(Note note) implements AttemptEnd<A> {
+  record Missed<A>(MemberState memberState) implements AttemptEnd<A> {
     @Override
     public Status status() {
       return Status.MISS;
@@ -47,7 +47,7 @@
   }
 
   /** Turned away unseen. */
-  record TurnedAway<A>(Note note) implements AttemptEnd<A> {
+  record TurnedAway<A>(MemberState memberState) implements AttemptEnd<A> {
     @Override
     public Status status() {
       return Status.FULL;
@@ -55,7 +55,7 @@
   }
 
   /** Answered with an error; it may have run. */
-  record Erred<A>(Note note, String why) implements AttemptEnd<A> {
+  record Erred<A>(MemberState memberState, String why) implements AttemptEnd<A> {
     @Override
     public Status status() {
       return Status.ERROR;
@@ -81,20 +81,20 @@
   }
 
   /** The connection failed or ended first. */
-  record Broken<A>(Reach reach, String why) implements AttemptEnd<A> {
+  record Broken<A>(AttemptProgress progress, String why) implements AttemptEnd<A> {
     @Override
     public Status status() {
-      return reach.mayHaveRun() ? Status.RESET : Status.CONNECT_FAILED;
+      return progress.mayHaveRun() ? Status.RESET : Status.CONNECT_FAILED;
     }
 
     @Override
     public boolean written() {
-      return reach.mayHaveRun();
+      return progress.mayHaveRun();
     }
 
     @Override
     public boolean uncertain() {
-      return reach.mayHaveRun();
+      return progress.mayHaveRun();
     }
   }
 }
--- a/src/main/java/crankspar/core/Reach.java
+++ b/src/main/java/crankspar/core/AttemptProgress.java
@@ -3,7 +3,7 @@
 /**
  * How far an attempt had come when it ended: the one thing that decides whether it may have run.
  */
-public enum Reach {
+public enum AttemptProgress {
   NOT_CONNECTED,
   PARTLY_WRITTEN,
   WHOLLY_WRITTEN,
--- a/src/main/java/crankspar/core/Attempts.java
+++ b/src/main/java/crankspar/core/Attempts.java
@@ -18,7 +18,7 @@
   private final Ports.Time time;
   private final Ports.Backends<Q, A> backends;
   private final Counters counters;
-  private final Figures figures;
+  private final RequestStats figures;
   private final Notes notes;
   private final DatabaseClock databaseClock;
   private final int mostTries;
@@ -27,7 +27,7 @@
   private final int mostOut;
 
   private Ports.Audit audit;
-  private Ports.Sessions sessions;
+  private Ports.SharedSessionMarks sessions;
 
   Attempts(
       Pooler<Q, A> core,
@@ -35,7 +35,7 @@
       Ports.Time time,
       Ports.Backends<Q, A> backends,
       Counters counters,
-      Figures figures,
+      RequestStats figures,
       Notes notes,
       DatabaseClock databaseClock) {
     this.core = core;
@@ -53,7 +53,7 @@
     this.audit = audit;
   }
 
-  void sessions(Ports.Sessions sessions) {
+  void sessions(Ports.SharedSessionMarks sessions) {
     this.sessions = sessions;
   }
 
@@ -65,7 +65,7 @@
     double deadline =
         Math.min(timeout > 0 ? attempt.sent + timeout : Double.MAX_VALUE, request.deadline);
     if (!mayBegin(attempt, deadline)) {
-      end(attempt, Status.MOOT, AttemptEnd.Note.NONE);
+      end(attempt, Status.MOOT, AttemptEnd.MemberState.NONE);
       return;
     }
     double connectBy = request.connectBy(time.now());
@@ -91,11 +91,11 @@
   /** The last check, right before an attempt is written: its client is there, and time is left. */
   boolean wanted(Attempt<Q, A> attempt) {
     PendingRequest<Q, A> request = attempt.owed;
-    if (!attempt.ended && !request.over && !request.reply.present()) {
-      if (request.reply.kept()) {
-        core.left(attempt.request);
+    if (!attempt.ended && !request.over && !request.reply.clientConnected()) {
+      if (request.reply.keepsAnswer()) {
+        core.clientLeftKeepingAnswer(attempt.request);
       } else {
-        core.gone(attempt.request);
+        core.clientLeft(attempt.request);
       }
     }
     return !attempt.ended && request.open(time.now()) && !request.aged(attempt.decided, time.now());
@@ -110,7 +110,7 @@
   }
 
   /** Its answer has begun; {@code tell} is what the module hears now, null for its end only. */
-  void begun(Attempt<Q, A> attempt, AttemptEnd.Note tell) {
+  void begun(Attempt<Q, A> attempt, AttemptEnd.MemberState tell) {
     counters.add("begun");
     if (tell != null) {
       attempt.told = true;
@@ -118,7 +118,7 @@
     }
   }
 
-  AttemptEnd.Note plausible(AttemptEnd.Note note) {
+  AttemptEnd.MemberState plausible(AttemptEnd.MemberState note) {
     return notes.plausible(note);
   }
 
@@ -135,7 +135,7 @@
       counters.add("begun_broken");
       core.answer(attempt.request, request, new FinalAnswer.Failed<>(true, "the answer broke off"));
     }
-    AttemptEnd.Note note = notes.plausible(end.note());
+    AttemptEnd.MemberState note = notes.plausible(end.memberState());
     if (end instanceof AttemptEnd.Served<A> served) {
       served(attempt, served, note);
     } else {
@@ -146,10 +146,11 @@
     end(attempt, end.status(), note);
   }
 
-  private void served(Attempt<Q, A> attempt, AttemptEnd.Served<A> served, AttemptEnd.Note note) {
+  private void served(
+      Attempt<Q, A> attempt, AttemptEnd.Served<A> served, AttemptEnd.MemberState note) {
     PendingRequest<Q, A> request = attempt.owed;
     if (sessions != null && request.freshness() == Freshness.WRITE) {
-      sessions.wrote(request.ask.session(), note.position());
+      sessions.writeCommitted(request.ask.session(), note.position());
     }
     if (!request.over && (request.begun == null || request.begun == attempt)) {
       core.answer(attempt.request, request, new FinalAnswer.Served<>(served.answer(), note));
@@ -161,7 +162,7 @@
       return;
     }
     boolean mayHaveRun = abandon(attempt);
-    end(attempt, mayHaveRun ? Status.TIMEOUT : Status.MOOT, AttemptEnd.Note.NONE);
+    end(attempt, mayHaveRun ? Status.TIMEOUT : Status.MOOT, AttemptEnd.MemberState.NONE);
   }
 
   /** Gives it up by ending its connection; whether it may have run. */
@@ -188,10 +189,10 @@
 
   void callOff(Attempt<Q, A> attempt) {
     abandon(attempt);
-    end(attempt, Status.CANCELLED, AttemptEnd.Note.NONE);
+    end(attempt, Status.CANCELLED, AttemptEnd.MemberState.NONE);
   }
 
-  private void end(Attempt<Q, A> attempt, Status status, AttemptEnd.Note note) {
+  private void end(Attempt<Q, A> attempt, Status status, AttemptEnd.MemberState note) {
     attempt.ended = true;
     PendingRequest<Q, A> request = attempt.owed;
     if (audit != null && note.role() != Role.UNKNOWN) {
@@ -210,7 +211,7 @@
   }
 
   private Outcome outcome(
-      Attempt<Q, A> attempt, Status status, boolean over, AttemptEnd.Note note) {
+      Attempt<Q, A> attempt, Status status, boolean over, AttemptEnd.MemberState note) {
     return new Outcome(
         attempt.request,
         attempt.number,
--- a/src/main/java/crankspar/core/CancelRouter.java
+++ b/src/main/java/crankspar/core/CancelRouter.java
@@ -5,8 +5,8 @@
 /**
  * Brings each cancel of a front to its client's session, which may be at another process of this
  * pooler: during an upgrade both listen, or only the one that knows no key of the other's. Cancels
- * of others are looked for every {@link #PERIOD_MS}, and by {@link #takeShared} before a write. On
- * the loop only.
+ * of others are looked for every {@link #PERIOD_MS}, and by {@link #deliverShared} before a write.
+ * On the loop only.
  */
 public final class CancelRouter {
   private static final Logger LOG = Logger.getLogger(CancelRouter.class.getName());
@@ -24,7 +24,7 @@
   private final Sessions sessions;
 
   /** Null where no other process hears of them. */
-  private Ports.Cancels shared;
+  private Ports.SharedCancels shared;
 
   /** When some were last found lost (ms); what came before then may have been canceled. */
   private double lostAt = Double.NEGATIVE_INFINITY;
@@ -38,13 +38,13 @@
   }
 
   /** From now on they are shared with the process that this one replaces, or that replaces it. */
-  public void share(Ports.Cancels with) {
+  public void share(Ports.SharedCancels with) {
     shared = with;
     takePeriodically();
   }
 
   private void takePeriodically() {
-    takeShared();
+    deliverShared();
     time.after(PERIOD_MS, this::takePeriodically);
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** Takes in the cancels that have reached other processes by now. */
-  public void takeShared() {
+  public void deliverShared() {
     if (shared == null) {
       return;
     }
--- a/src/main/java/crankspar/core/FinalAnswer.java
+++ b/src/main/java/crankspar/core/FinalAnswer.java
@@ -2,7 +2,7 @@
 
 /** The one final answer to a request, for a front to put into its own words. */
 public sealed interface FinalAnswer<A> {
-  record Served<A>(A answer, AttemptEnd.Note note) implements FinalAnswer<A> {}
+  record Served<A>(A answer, AttemptEnd.MemberState memberState) implements FinalAnswer<A> {}
 
   /** Trying again is harmless, best after {@code retryIn} ms (0: no advice). */
   record Refused<A>(double retryIn) implements FinalAnswer<A> {}
--- a/src/main/java/crankspar/core/Front.java
+++ b/src/main/java/crankspar/core/Front.java
@@ -9,7 +9,7 @@
    * Whether who asks for its health is told to go elsewhere, where the front's protocol has such a
    * question.
    */
-  default void leaving(boolean on) {}
+  default void reportUnavailable(boolean on) {}
 
   /** Takes no new connections, and closes each that it has between two requests. */
   void drain();
--- a/src/main/java/crankspar/core/Notes.java
+++ b/src/main/java/crankspar/core/Notes.java
@@ -20,18 +20,18 @@
    * brought it. Guards against stale reads: believed once, it would pass its member through the
    * gate for good.
    */
-  AttemptEnd.Note plausible(AttemptEnd.Note note) {
+  AttemptEnd.MemberState plausible(AttemptEnd.MemberState note) {
     if (Double.isNaN(note.position())) {
       return note;
     }
     DatabaseClock.Verdict verdict = clock.hears(time.now(), note.role(), note.position());
     if (verdict == DatabaseClock.Verdict.IMPLAUSIBLE) {
       counters.add("notes_implausible");
-      return AttemptEnd.Note.NONE;
+      return AttemptEnd.MemberState.NONE;
     }
     if (verdict == DatabaseClock.Verdict.UNPROVEN) {
       counters.add("notes_unproven");
-      return new AttemptEnd.Note(note.role(), Double.NaN);
+      return new AttemptEnd.MemberState(note.role(), Double.NaN);
     }
     if (verdict == DatabaseClock.Verdict.FOUND_AHEAD) {
       counters.add("database_clock_ahead");
--- a/src/main/java/crankspar/core/PendingRequest.java
+++ b/src/main/java/crankspar/core/PendingRequest.java
@@ -14,7 +14,7 @@
    */
   private static final double AGEING_MOST = 40;
 
-  final Ports.Ask<Q> ask;
+  final Ports.ClientRequest<Q> ask;
   final RequestClass kind;
   final Ports.Reply<A> reply;
   final double taken;
@@ -39,7 +39,11 @@
   Attempt<Q, A> begun;
 
   PendingRequest(
-      Ports.Ask<Q> ask, RequestClass kind, Ports.Reply<A> reply, double now, String name) {
+      Ports.ClientRequest<Q> ask,
+      RequestClass kind,
+      Ports.Reply<A> reply,
+      double now,
+      String name) {
     this.name = name;
     this.ask = ask;
     this.kind = kind;
--- a/src/main/java/crankspar/core/Pooler.java
+++ b/src/main/java/crankspar/core/Pooler.java
@@ -35,11 +35,11 @@
   private final PendingRequests<Q, A> requests = new PendingRequests<>();
   private final DatabaseClock databaseClock = new DatabaseClock();
   private final Turns turns;
-  private final Figures figures;
+  private final RequestStats stats;
   private final Attempts<Q, A> attempts;
   private final Prober<A> prober;
   private Ports.Audit audit;
-  private Ports.Sessions sessions;
+  private Ports.SharedSessionMarks sessions;
   private Function<Q, String> naming = query -> null;
   private RequestLog log = RequestLog.NONE;
   private Ports.Peers peers = message -> {};
@@ -56,17 +56,16 @@
     this.time = time;
     this.discovery = discovery;
     this.counters = counters;
-    figures = new Figures(settings.classes().size());
+    stats = new RequestStats(settings.classes().size());
     var notes = new Notes(time, counters, databaseClock, this::foundAhead);
     turns = new Turns(time, counters);
     prober = new Prober<>(time, backends, counters, notes, settings.limits().dialTimeout());
     attempts =
         new Attempts<>(
-            this, settings.limits(), time, backends, counters, figures, notes, databaseClock);
+            this, settings.limits(), time, backends, counters, stats, notes, databaseClock);
     module = maker.apply(settings, this);
   }
 
-  // ---- What happens.
   public void start(List<Member> known) {
     event(
         () -> {
@@ -75,7 +74,7 @@
         });
   }
 
-  public void members(ListKind kind, List<Member> members) {
+  public void membersChanged(ListKind kind, List<Member> members) {
     event(() -> module.onMembers(now(), kind, members));
   }
 
@@ -84,31 +83,31 @@
   }
 
   /** Whatever is taken from now on is answered by this time: the process ends after it. */
-  public void answerBy(double time) {
+  public void setShutdownDeadline(double time) {
     lastAnswer = time;
   }
 
-  /** The time given to {@link #answerBy}, else infinite. */
-  public double answersBy() {
+  /** The time given to {@link #setShutdownDeadline}, else infinite. */
+  public double shutdownDeadline() {
     return lastAnswer;
   }
 
-  /** Takes a request; its reply is called exactly once unless {@link #gone} comes first. */
-  public String take(Ports.Ask<Q> asked, Ports.Reply<A> reply) {
+  /** Takes a request; its reply is called exactly once unless {@link #clientLeft} comes first. */
+  public String submit(Ports.ClientRequest<Q> asked, Ports.Reply<A> reply) {
     String id = requests.nextId();
     counters.add("taken");
     double now = now();
     double deadline = Math.max(now, Math.min(asked.deadline(), lastAnswer));
-    Ports.Ask<Q> ask = asked.dueBy(deadline);
+    Ports.ClientRequest<Q> ask = asked.withDeadline(deadline);
     String name = naming.apply(ask.query());
     var pending =
         new PendingRequest<>(
             ask, settings.classes().get(ask.requestClass()), reply, now, name == null ? id : name);
     requests.add(id, pending);
-    reply.taken(id);
+    reply.accepted(id);
     double mark =
         sessions != null && pending.freshness() == Freshness.SESSION
-            ? sessions.atLeast(ask.session(), ask.mark())
+            ? sessions.laterOf(ask.session(), ask.mark())
             : ask.mark();
     double age = databaseClock.age(mark, now);
     event(
@@ -131,7 +130,7 @@
   }
 
   /** The client has left: nothing is owed any more. */
-  public void gone(String id) {
+  public void clientLeft(String id) {
     PendingRequest<Q, A> pending = requests.get(id);
     if (pending != null && !pending.over) {
       counters.add("gone");
@@ -143,12 +142,12 @@
     }
   }
 
-  public int owing() {
+  public int unansweredCount() {
     return requests.unanswered();
   }
 
-  public Figures figures() {
-    return figures;
+  public RequestStats stats() {
+    return stats;
   }
 
   /** The listed members that the module keeps work from. */
@@ -160,7 +159,7 @@
    * The client waits for the answer that says it is called off: nothing further is sent, what is
    * out is ended. A begun one goes on.
    */
-  public void cancelled(String id) {
+  public void cancelledByClient(String id) {
     PendingRequest<Q, A> pending = requests.get(id);
     if (unanswered(pending)) {
       counters.add("cancelled");
@@ -174,7 +173,7 @@
    * The client has left, and its answer is kept for who asks again: what has been written is
    * awaited, nothing further begins.
    */
-  public void left(String id) {
+  public void clientLeftKeepingAnswer(String id) {
     PendingRequest<Q, A> pending = requests.get(id);
     if (unanswered(pending)) {
       pending.left = true;
@@ -190,12 +189,12 @@
 
   void endIfLeft(String id, PendingRequest<Q, A> pending) {
     if (pending.left && pending.out.isEmpty()) {
-      cancelled(id);
+      cancelledByClient(id);
     }
   }
 
   /** The process ends: what was taken from then on (ms; nought: all) has its answer now. */
-  public void giveUp(double takenFrom) {
+  public void failUnanswered(double takenFrom) {
     requests.eachUnanswered(
         (id, pending) -> {
           if (pending.taken < takenFrom || takenFrom > 0 && pending.begun != null) {
@@ -258,7 +257,7 @@
 
   void answer(String id, PendingRequest<Q, A> pending, FinalAnswer<A> answer) {
     conclude(id, pending);
-    figures.answered(pending.ask.requestClass(), answer);
+    stats.answered(pending.ask.requestClass(), answer);
     audit(pending, Ports.Audit.Answer.of(answer));
     counters.add(
         "answered_" + answer.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT));
@@ -279,7 +278,7 @@
   }
 
   /** A front has read a request and does not take it: what became of it. */
-  public void notTaken(Q query, int requestClass, Ports.Audit.Answer how) {
+  public void auditNotTaken(Q query, int requestClass, Ports.Audit.Answer how) {
     String name = naming.apply(query);
     if (audit != null && name != null) {
       audit.answered(name, how, requestClass, now());
@@ -309,12 +308,13 @@
   }
 
   /** From now on others may probe for this core. */
-  public void probes(Ports.Probes probes) {
+  public void setSharedProber(Ports.SharedProber probes) {
     prober.others(probes);
   }
 
   /** A probe's result, whoever made it; {@code elapsed} is how old it is at most (ms). */
-  public void probed(String member, boolean ok, double elapsed, Role role, double position) {
+  public void probeCompleted(
+      String member, boolean ok, double elapsed, Role role, double position) {
     double ours = databaseClock.ours(position);
     Role told = ok ? role : Role.UNKNOWN;
     event(() -> module.onProbe(now(), new Router.ProbeResult(member, ok, elapsed, told, ours)));
@@ -332,18 +332,18 @@
   }
 
   /** Probes at once over this core's connections, and tells what came of it, once. */
-  public void probeNow(String member, Ports.Probed told) {
+  public void probeNow(String member, Ports.ProbeListener told) {
     prober.now(member, told);
   }
 
   /** From now on sessions' marks are shared with other processes of this pooler. */
-  public void sessions(Ports.Sessions sessions) {
+  public void setSharedSessionMarks(Ports.SharedSessionMarks sessions) {
     this.sessions = sessions;
     attempts.sessions(sessions);
   }
 
   /** From now on what is sent and answered is kept there. */
-  public void audit(Ports.Audit audit) {
+  public void setAudit(Ports.Audit audit) {
     this.audit = audit;
     attempts.audit(audit);
   }
@@ -354,12 +354,12 @@
   }
 
   /** Gives a query's own name, by which logs and the audit know it, or null where it has none. */
-  public void naming(Function<Q, String> naming) {
+  public void setRequestNaming(Function<Q, String> naming) {
     this.naming = naming;
   }
 
   /** A front closes a client's connection with this request owed, or null where none is. */
-  public void closing(String request, String why) {
+  public void connectionClosing(String request, String why) {
     log.write("connection closed", request, () -> why);
   }
 
@@ -369,22 +369,22 @@
   }
 
   /** From now on the module's messages go this way. */
-  public void peers(Ports.Peers peers) {
+  public void setPeers(Ports.Peers peers) {
     this.peers = peers;
   }
 
   @Override
   public void tell(byte[] message) {
-    peers.tell(message);
+    peers.broadcast(message);
   }
 
   /** A message from another pooler, as it came. */
-  public void heard(byte[] message) {
+  public void peerMessageReceived(byte[] message) {
     event(() -> module.onPeer(now(), message));
   }
 
   /** The module's counts since the start. */
-  public Map<String, Long> counts() {
+  public Map<String, Long> moduleCounters() {
     return module.counts();
   }
 
--- a/src/main/java/crankspar/core/Ports.java
+++ b/src/main/java/crankspar/core/Ports.java
@@ -17,7 +17,7 @@
      * on a peer's silence. Guards against a peer that is held for dead because its answer could not
      * be heard.
      */
-    default void afterAwake(double ms, Runnable what) {
+    default void afterExcludingStalls(double ms, Runnable what) {
       after(ms, what);
     }
   }
@@ -27,7 +27,7 @@
     /**
      * Gives it up by ending its connection; tells how far it had come. No end is told after this.
      */
-    Reach abandon();
+    AttemptProgress abandon();
   }
 
   /** What an attempt tells of itself, each thing once at most. */
@@ -37,7 +37,7 @@
      * is not. Guards against an attempt for a client that left while a connection came up, or while
      * this process was late.
      */
-    default boolean wanted() {
+    default boolean stillWanted() {
       return true;
     }
 
@@ -48,16 +48,16 @@
      * An answer too long to hold has begun: it is passed on as it comes, and its end is told as any
      * other. False where nobody waits for it any more.
      */
-    default boolean began(A answer) {
+    default boolean answerBegan(A answer) {
       return false;
     }
 
     /**
      * Its member has answered, and the connection stays its client's: a transaction that goes on.
-     * As {@link #began}, but the module hears of it now, whatever its class: how long a client
-     * takes between two statements says nothing of its member.
+     * As {@link #answerBegan}, but the module hears of it now, whatever its class: how long a
+     * client takes between two statements says nothing of its member.
      */
-    default boolean held(A answer, AttemptEnd.Note note) {
+    default boolean answeredInTransaction(A answer, AttemptEnd.MemberState note) {
       return false;
     }
 
@@ -67,17 +67,17 @@
   /** Where a request's one final answer goes. */
   interface Reply<A> {
     /**
-     * The request is taken and has this name in {@link Pooler#gone} and {@link Pooler#cancelled};
-     * called before anything is decided on it. Guards against a cancel that comes within the
-     * decision and finds no name to cancel.
+     * The request is taken and has this name in {@link Pooler#clientLeft} and {@link
+     * Pooler#cancelledByClient}; called before anything is decided on it. Guards against a cancel
+     * that comes within the decision and finds no name to cancel.
      */
-    default void taken(String request) {}
+    default void accepted(String request) {}
 
     /**
      * Whether its client is still there, by what its connection holds at this moment. Asked right
      * before an attempt begins; a client that has left may be told of as gone within this call.
      */
-    default boolean present() {
+    default boolean clientConnected() {
       return true;
     }
 
@@ -85,7 +85,7 @@
      * Whether the answer is kept for who asks again: what is out when its client has left is
      * awaited then.
      */
-    default boolean kept() {
+    default boolean keepsAnswer() {
       return false;
     }
 
@@ -93,7 +93,7 @@
      * The answer has begun, and the rest comes as the server gives it; the final answer tells how
      * it ended.
      */
-    default void began(A answer) {
+    default void answerBegan(A answer) {
       throw new UnsupportedOperationException("answers are taken whole here");
     }
 
@@ -114,15 +114,16 @@
   }
 
   /** Who probes for several, so that not each has to. */
-  interface Probes {
+  interface SharedProber {
     /**
-     * Whether this member's probes are taken care of: its results come by {@link Pooler#probed}.
+     * Whether this member's probes are taken care of: its results come by {@link
+     * Pooler#probeCompleted}.
      */
-    boolean takes(Pooler<?, ?> core, String member);
+    boolean handles(Pooler<?, ?> core, String member);
   }
 
   /** Cancels that reached another process of this pooler than the one that has the request. */
-  interface Cancels {
+  interface SharedCancels {
     /** Tells the others of one whose key names nobody here. */
     void add(long key);
 
@@ -135,31 +136,31 @@
 
   /** The way to the other poolers: each message to all of them, late or never. */
   interface Peers {
-    void tell(byte[] message);
+    void broadcast(byte[] message);
   }
 
   /** What a probe found; {@code position} is Unix ms or NaN. */
-  interface Probed {
-    void tell(boolean ok, double elapsed, Role role, double position);
+  interface ProbeListener {
+    void probeCompleted(boolean ok, double elapsed, Role role, double position);
   }
 
   /**
    * What sessions have written through other processes of this pooler; off the path where there is
    * none.
    */
-  interface Sessions {
+  interface SharedSessionMarks {
     /**
      * A write of this session was committed at {@code commit} (Unix ms, or NaN); told before its
      * client is.
      */
-    void wrote(String session, double commit);
+    void writeCommitted(String session, double commit);
 
     /** The position (Unix ms) that a read of this session must see, or NaN. */
-    double need(String session);
+    double requiredPosition(String session);
 
     /** The later of this mark (or NaN) and what the session needs. */
-    default double atLeast(String session, double mark) {
-      double need = need(session);
+    default double laterOf(String session, double mark) {
+      double need = requiredPosition(session);
       return Double.isNaN(need) || mark > need ? mark : need;
     }
   }
@@ -203,11 +204,11 @@
    * What a front has taken, to be answered by {@code deadline} (ms of the core's clock). The mark
    * is the position (Unix ms) that a session's read must see, or NaN.
    */
-  record Ask<Q>(
+  record ClientRequest<Q>(
       int requestClass, double deadline, String session, double mark, int group, Q query) {
     /** The same, to be answered by then. */
-    Ask<Q> dueBy(double time) {
-      return new Ask<>(requestClass, time, session, mark, group, query);
+    ClientRequest<Q> withDeadline(double time) {
+      return new ClientRequest<>(requestClass, time, session, mark, group, query);
     }
   }
 }
--- a/src/main/java/crankspar/core/Prober.java
+++ b/src/main/java/crankspar/core/Prober.java
@@ -9,7 +9,7 @@
   private final Counters counters;
   private final Notes notes;
   private final double most;
-  private Ports.Probes others;
+  private Ports.SharedProber others;
 
   /** A probe that takes longer than {@code most} ms is given up. */
   Prober(
@@ -21,19 +21,20 @@
     this.most = most;
   }
 
-  void others(Ports.Probes others) {
+  void others(Ports.SharedProber others) {
     this.others = others;
   }
 
   void probe(Pooler<?, ?> core, String member) {
-    if (others == null || !others.takes(core, member)) {
+    if (others == null || !others.handles(core, member)) {
       now(
           member,
-          (ok, elapsed, role, position) -> core.probed(member, ok, elapsed, role, position));
+          (ok, elapsed, role, position) ->
+              core.probeCompleted(member, ok, elapsed, role, position));
     }
   }
 
-  void now(String member, Ports.Probed told) {
+  void now(String member, Ports.ProbeListener told) {
     counters.add("probes");
     double sent = time.now();
     boolean[] over = new boolean[1];
@@ -43,24 +44,24 @@
             end -> {
               if (!over[0]) {
                 over[0] = true;
-                AttemptEnd.Note note =
+                AttemptEnd.MemberState note =
                     end instanceof AttemptEnd.Served<A> s
-                        ? notes.plausible(s.note())
-                        : AttemptEnd.Note.NONE;
-                told.tell(
+                        ? notes.plausible(s.memberState())
+                        : AttemptEnd.MemberState.NONE;
+                told.probeCompleted(
                     end instanceof AttemptEnd.Served<A>,
                     time.now() - sent,
                     note.role(),
                     note.position());
               }
             });
-    time.afterAwake(
+    time.afterExcludingStalls(
         most,
         () -> {
           if (!over[0]) {
             over[0] = true;
             call.abandon();
-            told.tell(false, time.now() - sent, Role.UNKNOWN, Double.NaN);
+            told.probeCompleted(false, time.now() - sent, Role.UNKNOWN, Double.NaN);
           }
         });
   }
--- a/src/main/java/crankspar/core/RequestLog.java
+++ b/src/main/java/crankspar/core/RequestLog.java
@@ -13,7 +13,7 @@
   private static final Logger LOG = Logger.getLogger(RequestLog.class.getName());
 
   /** Lines a second that are INFO. */
-  static final int LINES_MOST = 20;
+  static final int MAX_INFO_LINES = 20;
 
   private static final double WINDOW_MS = 1000;
 
@@ -38,7 +38,7 @@
     if (now - windowBegan >= WINDOW_MS) {
       begin(now);
     }
-    boolean first = lines < LINES_MOST;
+    boolean first = lines < MAX_INFO_LINES;
     lines++;
     leftOut += first ? 0 : 1;
     LOG.log(
--- a/src/main/java/crankspar/core/Figures.java
+++ b/src/main/java/crankspar/core/RequestStats.java
@@ -1,15 +1,15 @@
 package crankspar.core;
 
 /** What one core has done since its start, by class: each is counted once, where it happens. */
-public final class Figures {
+public final class RequestStats {
   private final long[] ok;
-  private final long[] shed;
+  private final long[] refused;
   private final long[] errors;
-  private long tries;
+  private long attemptsWritten;
 
-  Figures(int classes) {
+  RequestStats(int classes) {
     ok = new long[classes];
-    shed = new long[classes];
+    refused = new long[classes];
     errors = new long[classes];
   }
 
@@ -17,20 +17,20 @@
     long[] at =
         answer instanceof FinalAnswer.Served<?>
             ? ok
-            : answer instanceof FinalAnswer.Refused<?> ? shed : errors;
+            : answer instanceof FinalAnswer.Refused<?> ? refused : errors;
     at[requestClass]++;
   }
 
   void written() {
-    tries++;
+    attemptsWritten++;
   }
 
   public long ok(int requestClass) {
     return ok[requestClass];
   }
 
-  public long shed(int requestClass) {
-    return shed[requestClass];
+  public long refused(int requestClass) {
+    return refused[requestClass];
   }
 
   public long errors(int requestClass) {
@@ -38,7 +38,7 @@
   }
 
   /** Attempts whose last byte was written to a server. */
-  public long tries() {
-    return tries;
+  public long attemptsWritten() {
+    return attemptsWritten;
   }
 }
--- a/src/main/java/crankspar/daemon/Assembly.java
+++ b/src/main/java/crankspar/daemon/Assembly.java
@@ -194,7 +194,7 @@
                 Router.Settings s = config.settings();
                 var pool = new Pool<Statement, PgAnswer>(loop, counters, () -> PgFront.dial(counters), PgFront.probe(), s.limits().dialTimeout(), s.limits().connIdle(), servers);
                 platformCore = new Pooler<>(s, loop, pool, discovery, counters, GossipReceiver.before(Balance::new));
-                platformCore.naming(statement -> statement.names().get("id"));
+                platformCore.setRequestNaming(statement -> statement.names().get("id"));
                 if (shared != null && s.sessionMarks() == Router.SessionMarks.REMEMBERED) {
                     shareSessions(beside(shared, ".sessions"));
                 }
@@ -231,7 +231,7 @@
     /** Without the file this process serves all the same: its sessions' marks are its own until it is replaced. */
     private void shareSessions(Path file) {
         try {
-            platformCore.sessions(SessionRing.open(file));
+            platformCore.setSharedSessionMarks(SessionRing.open(file));
         } catch (IOException e) {
             counters.add("sessions_not_shared");
             LOG.warning("sessions' marks are not shared with a successor: " + e);
--- a/src/main/java/crankspar/daemon/Auditing.java
+++ b/src/main/java/crankspar/daemon/Auditing.java
@@ -97,7 +97,7 @@
                     .fronts()
                     .forEach(
                         f -> {
-                          f.leaving(on || parts.leaving().getAsBoolean());
+                          f.reportUnavailable(on || parts.leaving().getAsBoolean());
                           if (on) {
                             f.drain();
                           } else if (!parts.leaving().getAsBoolean()) {
@@ -155,8 +155,8 @@
 
   /** From now on what this core sends is kept; {@code naming} gives a query's own name. */
   <Q> void attach(Pooler<Q, ?> core, Function<Q, String> naming) {
-    core.naming(naming);
-    core.audit(auditor);
+    core.setRequestNaming(naming);
+    core.setAudit(auditor);
   }
 
   /** Files have been read anew. */
--- a/src/main/java/crankspar/daemon/Directory.java
+++ b/src/main/java/crankspar/daemon/Directory.java
@@ -98,7 +98,8 @@
   void listed(MemberList list) {
     Set<String> before = Set.copyOf(members.keySet());
     take(list);
-    pooler.members(list.complete() ? ListKind.FULL : ListKind.CHANGES, marked(list.members()));
+    pooler.membersChanged(
+        list.complete() ? ListKind.FULL : ListKind.CHANGES, marked(list.members()));
     before.stream().filter(id -> !members.containsKey(id)).forEach(pool::forget);
     forgetUnusable(list);
     keep(list.revision());
@@ -161,7 +162,7 @@
         told.add(mark(m));
       }
     }
-    pooler.members(ListKind.CHANGES, told);
+    pooler.membersChanged(ListKind.CHANGES, told);
     told.stream().map(Member::id).filter(id -> !usable(members.get(id))).forEach(pool::forget);
   }
 
--- a/src/main/java/crankspar/daemon/GracefulShutdown.java
+++ b/src/main/java/crankspar/daemon/GracefulShutdown.java
@@ -113,11 +113,11 @@
           parts.fronts.forEach(
               f -> {
                 f.front().stopping();
-                f.core().answerBy(answered);
+                f.core().setShutdownDeadline(answered);
               });
           parts.loop.after(
               answered - parts.loop.now(),
-              () -> parts.fronts.forEach(f -> f.core().giveUp(signalled + KILL_AFTER)));
+              () -> parts.fronts.forEach(f -> f.core().failUnanswered(signalled + KILL_AFTER)));
           double late = Math.min(parts.loop.recentLag(), LAST_REQUEST);
           parts.loop.after(drained - late - parts.loop.now(), () -> drainAll(done));
         });
@@ -142,7 +142,7 @@
         () -> {
           parts.fronts.forEach(
               f -> {
-                f.core().answerBy(answered);
+                f.core().setShutdownDeadline(answered);
                 f.front().drain();
               });
           look(answered, done);
@@ -158,10 +158,11 @@
   private void look(double until, CountDownLatch done) {
     double now = parts.loop.now();
     if (now >= until) {
-      parts.fronts.forEach(f -> f.core().giveUp(0));
+      parts.fronts.forEach(f -> f.core().failUnanswered(0));
     }
     if (now >= until + LAST_BYTES
-        || parts.fronts.stream().allMatch(f -> f.core().owing() == 0 && f.front().closed())) {
+        || parts.fronts.stream()
+            .allMatch(f -> f.core().unansweredCount() == 0 && f.front().closed())) {
       done.countDown();
     } else {
       parts.loop.after(END_LOOK, () -> look(until, done));
@@ -177,7 +178,7 @@
       LOG.info("an operator drains this pooler");
       on = true;
       int mine = ++drains;
-      parts.fronts.forEach(f -> f.front().leaving(true));
+      parts.fronts.forEach(f -> f.front().reportUnavailable(true));
       parts.loop.after(
           STILL_OPEN,
           () -> {
@@ -198,7 +199,7 @@
       on = false;
       parts.fronts.forEach(
           f -> {
-            f.front().leaving(parts.fenced());
+            f.front().reportUnavailable(parts.fenced());
             if (!parts.fenced()) {
               f.front().resume();
             }
--- a/src/main/java/crankspar/daemon/OperatorCalls.java
+++ b/src/main/java/crankspar/daemon/OperatorCalls.java
@@ -55,7 +55,7 @@
       avoided.addAll(parts.store.under(Directory.DRAIN).keySet());
     }
     for (Served f : fronts) {
-      active += f.core().owing();
+      active += f.core().unansweredCount();
       listed.addAll(f.members().ids());
       avoided.addAll(f.core().avoided());
     }
@@ -74,7 +74,8 @@
       parts.peering.shared().figures().forEach((name, n) -> all.add(Figure.gauge(name, n)));
       parts.peering.shared().counts().forEach((name, n) -> all.add(Figure.count(name, n)));
     }
-    fronts.forEach(f -> f.core().counts().forEach((name, n) -> all.add(Figure.count(name, n))));
+    fronts.forEach(
+        f -> f.core().moduleCounters().forEach((name, n) -> all.add(Figure.count(name, n))));
     if (parts.drainPropagation != null) {
       parts.drainPropagation.counts().forEach((name, n) -> all.add(Figure.count(name, n)));
     }
@@ -95,11 +96,11 @@
       Map<String, long[]> classes, Router.Settings settings, Pooler<?, ?> core) {
     for (int i = 0; i < settings.classes().size(); i++) {
       long[] n = classes.computeIfAbsent(settings.classes().get(i).name(), k -> new long[3]);
-      n[0] += core == null ? 0 : core.figures().ok(i);
-      n[1] += core == null ? 0 : core.figures().shed(i);
-      n[2] += core == null ? 0 : core.figures().errors(i);
+      n[0] += core == null ? 0 : core.stats().ok(i);
+      n[1] += core == null ? 0 : core.stats().refused(i);
+      n[2] += core == null ? 0 : core.stats().errors(i);
     }
-    return core == null ? 0 : core.figures().tries();
+    return core == null ? 0 : core.stats().attemptsWritten();
   }
 
   @Override
--- a/src/main/java/crankspar/daemon/Peering.java
+++ b/src/main/java/crankspar/daemon/Peering.java
@@ -161,7 +161,7 @@
                 if (taker != null) {
                   taker.accept(message);
                 } else {
-                  core.heard(message);
+                  core.peerMessageReceived(message);
                 }
               });
       toAll =
@@ -172,7 +172,7 @@
               others.forEach(to -> peers.send(to, message));
             }
           };
-      loop.run(() -> core.peers(this::tellAll));
+      loop.run(() -> core.setPeers(this::tellAll));
     } catch (java.net.BindException e) {
       again(() -> hear(given, me, core), "the peers are not heard");
     }
--- a/src/main/java/crankspar/daemon/Warmup.java
+++ b/src/main/java/crankspar/daemon/Warmup.java
@@ -5,10 +5,10 @@
 import crankspar.Router.Health;
 import crankspar.Router.Member;
 import crankspar.core.AttemptEnd;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.Pooler;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import crankspar.gossip.GossipReceiver;
 import crankspar.net.Connection;
 import crankspar.net.ConnectionHandler;
@@ -106,10 +106,10 @@
     var pooler =
         new Pooler<Statement, PgAnswer>(
             settings, this, this, this, counters, GossipReceiver.before(Balance::new));
-    pooler.peers(pooler::heard);
+    pooler.setPeers(pooler::peerMessageReceived);
     if (audit != null) {
-      pooler.naming(statement -> statement.names().get("id"));
-      pooler.audit(audit);
+      pooler.setRequestNaming(statement -> statement.names().get("id"));
+      pooler.setAudit(audit);
     }
     var front = new PgFront(null, settings, counters, pooler, Integer.MAX_VALUE);
     pooler.start(members);
@@ -239,7 +239,7 @@
         });
     return () -> {
       off[0] = true;
-      return Reach.WHOLLY_WRITTEN;
+      return AttemptProgress.WHOLLY_WRITTEN;
     };
   }
 
--- a/src/main/java/crankspar/discovery/Watch.java
+++ b/src/main/java/crankspar/discovery/Watch.java
@@ -3,9 +3,9 @@
 import crankspar.Router;
 import crankspar.core.Counters;
 import crankspar.core.Ports;
+import crankspar.http.HttpEncoder;
 import crankspar.http.HttpHead;
 import crankspar.http.HttpParser;
-import crankspar.http.HttpText;
 import crankspar.json.Json;
 import crankspar.net.Connection;
 import crankspar.net.ConnectionHandler;
@@ -174,7 +174,7 @@
     public void opened(Connection out) {
       step(new DiscoveryClient.Event.Up(call));
       out.write(
-          HttpText.request(
+          HttpEncoder.request(
               "GET",
               "/api/targets?stream=1&index=" + revision,
               Map.of("Host", at.getHostString() + ":" + at.getPort()),
--- a/src/main/java/crankspar/duties/SharedProbes.java
+++ b/src/main/java/crankspar/duties/SharedProbes.java
@@ -24,7 +24,7 @@
  * own, and it took as long as it is old. What the module asks for is answered from what is known,
  * or comes with the next result; what is no duty it probes itself.
  */
-public final class SharedProbes implements Ports.Probes, AutoCloseable {
+public final class SharedProbes implements Ports.SharedProber, AutoCloseable {
   /**
    * How an instance takes part.
    *
@@ -101,7 +101,7 @@
     datagrams = new Datagrams(loop, counters, setup.listen(), this::received);
     loop.run(
         () -> {
-          clients.forEach(c -> c.core().probes(this));
+          clients.forEach(c -> c.core().setSharedProber(this));
           tick();
         });
   }
@@ -208,7 +208,7 @@
   private void tell(Client c, Duties.Result r) {
     Role role = r.role() == 1 ? Role.PRIMARY : r.role() == 2 ? Role.REPLICA : Role.UNKNOWN;
     c.core()
-        .probed(
+        .probeCompleted(
             r.id(),
             r.ok(),
             Math.max(0.1, loop.now() - r.probedAt()),
@@ -217,7 +217,7 @@
   }
 
   @Override
-  public boolean takes(Pooler<?, ?> core, String id) {
+  public boolean handles(Pooler<?, ?> core, String id) {
     if (!node.duties().covers(id)) {
       return false;
     }
--- a/src/main/java/crankspar/handover/CancelRing.java
+++ b/src/main/java/crankspar/handover/CancelRing.java
@@ -23,7 +23,7 @@
  * told that it was overtaken: it does not know which keys it has missed. One process's calls come
  * from one thread.
  */
-public final class CancelRing implements Ports.Cancels {
+public final class CancelRing implements Ports.SharedCancels {
   /** More cancels than connections come within a pause of a process. */
   static final int SLOTS = 8192;
 
--- a/src/main/java/crankspar/handover/SessionRing.java
+++ b/src/main/java/crankspar/handover/SessionRing.java
@@ -26,7 +26,7 @@
  * number is in place; one whose writer died on the way is passed over. Times are Unix ms. One
  * process's calls come from one thread.
  */
-public final class SessionRing implements Ports.Sessions {
+public final class SessionRing implements Ports.SharedSessionMarks {
   /**
    * At seven writes a second ten minutes' worth, at a hundred 40 s; what is older is known as one
    * common commit.
@@ -96,7 +96,7 @@
   }
 
   @Override
-  public void wrote(String session, double commit) {
+  public void writeCommitted(String session, double commit) {
     if (session == null || Double.isNaN(commit)) {
       return;
     }
@@ -123,7 +123,7 @@
    * is known.
    */
   @Override
-  public double need(String session) {
+  public double requiredPosition(String session) {
     follow();
     long need = Math.max(floor, session == null ? 0 : commits.getOrDefault(session.hashCode(), 0L));
     return need == 0 ? Double.NaN : need;
--- a/src/main/java/crankspar/http/HttpText.java
+++ b/src/main/java/crankspar/http/HttpEncoder.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /** Messages as bytes. A body always has its length told. */
-public final class HttpText {
-  private HttpText() {}
+public final class HttpEncoder {
+  private HttpEncoder() {}
 
   public static byte[] request(
       String method, String target, Map<String, String> headers, byte[] body) {
--- a/src/main/java/crankspar/http/HttpParser.java
+++ b/src/main/java/crankspar/http/HttpParser.java
@@ -88,7 +88,7 @@
   }
 
   /** Whether no part of a next message has come. */
-  public boolean between() {
+  public boolean betweenMessages() {
     return state == State.HEAD && start == null && line.size() == 0;
   }
 
--- a/src/main/java/crankspar/lab/load/RestDialect.java
+++ b/src/main/java/crankspar/lab/load/RestDialect.java
@@ -1,8 +1,8 @@
 package crankspar.lab.load;
 
+import crankspar.http.HttpEncoder;
 import crankspar.http.HttpHead;
 import crankspar.http.HttpParser;
-import crankspar.http.HttpText;
 import crankspar.json.Json;
 import crankspar.lab.load.Recorder.Outcome;
 import crankspar.net.Connection;
@@ -81,7 +81,7 @@
       if (kind.write()) {
         headers.put("Idempotency-Key", run + "." + a.number());
         out.write(
-            HttpText.request(
+            HttpEncoder.request(
                 "POST",
                 path,
                 headers,
@@ -91,7 +91,7 @@
                     .getBytes(StandardCharsets.UTF_8)));
       } else {
         out.write(
-            HttpText.request(
+            HttpEncoder.request(
                 "GET",
                 path + (kind.sql().startsWith("?") ? kind.sql() : ""),
                 headers,
@@ -169,7 +169,7 @@
             && answer.get("next") instanceof String next
             && ++pages < PAGES_MOST
             && !closed) {
-          out.write(HttpText.request("GET", next, headers(kind), new byte[0]));
+          out.write(HttpEncoder.request("GET", next, headers(kind), new byte[0]));
           return;
         }
         over(Outcome.OK, head.header("session-mark"));
--- a/src/main/java/crankspar/lab/rig/DiscoveryStandIn.java
+++ b/src/main/java/crankspar/lab/rig/DiscoveryStandIn.java
@@ -3,9 +3,9 @@
 import crankspar.Router.Health;
 import crankspar.Router.Member;
 import crankspar.discovery.MemberList;
+import crankspar.http.HttpEncoder;
 import crankspar.http.HttpHead;
 import crankspar.http.HttpParser;
-import crankspar.http.HttpText;
 import crankspar.net.Connection;
 import crankspar.net.ConnectionHandler;
 import crankspar.net.EventLoop;
@@ -298,7 +298,8 @@
                               .write()
                               .getBytes(StandardCharsets.UTF_8);
                       out.write(
-                          HttpText.response(200, Map.of("Content-Type", "application/json"), all));
+                          HttpEncoder.response(
+                              200, Map.of("Content-Type", "application/json"), all));
                       return;
                     }
                     out.write(
@@ -322,7 +323,7 @@
                   }),
           () -> {
             if (!over) {
-              out.write(HttpText.response(503, Map.of(), new byte[0]));
+              out.write(HttpEncoder.response(503, Map.of(), new byte[0]));
             }
           });
     }
--- a/src/main/java/crankspar/mgmt/Calls.java
+++ b/src/main/java/crankspar/mgmt/Calls.java
@@ -1,8 +1,8 @@
 package crankspar.mgmt;
 
 import crankspar.core.Counters;
+import crankspar.http.HttpEncoder;
 import crankspar.http.HttpHead;
-import crankspar.http.HttpText;
 import crankspar.net.ConnectionHandler;
 import crankspar.net.EventLoop;
 import java.io.IOException;
@@ -110,7 +110,7 @@
     String json = operations.audit(page, query);
     return json == null
         ? said(404, "no audit is here")
-        : HttpText.response(
+        : HttpEncoder.response(
             200,
             Map.of("Content-Type", "application/json", "Connection", "close"),
             json.getBytes(StandardCharsets.UTF_8));
@@ -152,7 +152,7 @@
   }
 
   static byte[] said(int status, String text) {
-    return HttpText.response(
+    return HttpEncoder.response(
         status,
         Map.of("Content-Type", "text/plain; charset=utf-8", "Connection", "close"),
         (text.endsWith("\n") ? text : text + "\n").getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/crankspar/net/EventLoop.java
+++ b/src/main/java/crankspar/net/EventLoop.java
@@ -95,14 +95,14 @@
 
   /** A stall that is noticed only after the time was set counts too: it is on the safe side. */
   @Override
-  public void afterAwake(double ms, Runnable action) {
+  public void afterExcludingStalls(double ms, Runnable action) {
     double before = stalls.stalled();
     after(
         ms,
         () -> {
           double stood = Math.min(ms, stalls.stalled() - before);
           if (stood > 0) {
-            afterAwake(stood, action);
+            afterExcludingStalls(stood, action);
           } else {
             action.run();
           }
--- a/src/main/java/crankspar/net/Pool.java
+++ b/src/main/java/crankspar/net/Pool.java
@@ -1,9 +1,9 @@
 package crankspar.net;
 
 import crankspar.core.AttemptEnd;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.List;
@@ -100,10 +100,10 @@
       return idle;
     }
     loop.refresh();
-    if (!listener.wanted() || !member.takesWork(loop.now())) {
+    if (!listener.stillWanted() || !member.takesWork(loop.now())) {
       counters.add("unsent_unwanted");
       listener.ended(new AttemptEnd.Unsent<>(UNWANTED));
-      return () -> Reach.NOT_CONNECTED;
+      return () -> AttemptProgress.NOT_CONNECTED;
     }
     if (open >= most && !closeOldest()) {
       return refuse(listener, "no socket is left");
@@ -130,8 +130,8 @@
   }
 
   private Ports.Call refuse(Ports.AttemptListener<A> listener, String why) {
-    listener.ended(new AttemptEnd.Broken<>(Reach.NOT_CONNECTED, why));
-    return () -> Reach.NOT_CONNECTED;
+    listener.ended(new AttemptEnd.Broken<>(AttemptProgress.NOT_CONNECTED, why));
+    return () -> AttemptProgress.NOT_CONNECTED;
   }
 
   @Override
--- a/src/main/java/crankspar/net/PooledConnection.java
+++ b/src/main/java/crankspar/net/PooledConnection.java
@@ -1,9 +1,9 @@
 package crankspar.net;
 
 import crankspar.core.AttemptEnd;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import java.net.InetSocketAddress;
 
 /**
@@ -62,7 +62,7 @@
     counters.add("server_connections_opened");
     handler.owner(this);
     stream = loop.connect(address, handler);
-    loop.afterAwake(handshakeMost, () -> loseUnlessUp("no connection in time"));
+    loop.afterExcludingStalls(handshakeMost, () -> loseUnlessUp("no connection in time"));
     this.connectBy = connectBy;
     double within = connectBy - loop.now();
     if (within < handshakeMost) {
@@ -189,7 +189,7 @@
   private boolean mayWrite() {
     loop.refresh();
     return listener != null
-        && listener.wanted()
+        && listener.stillWanted()
         && !closed
         && listener != null
         && member.takesWork(loop.now());
@@ -204,8 +204,8 @@
 
   // ---- The answer.
   @Override
-  public boolean began(A answer) {
-    boolean wanted = listener != null && listener.began(answer);
+  public boolean answerBegan(A answer) {
+    boolean wanted = listener != null && listener.answerBegan(answer);
     if (wanted) {
       watchFor(stream.received());
     }
@@ -243,7 +243,7 @@
   private void settle() {
     settling = true;
     handler.settle();
-    loop.afterAwake(
+    loop.afterExcludingStalls(
         handshakeMost,
         () -> {
           if (settling) { // a server that hangs: its connection is of no use
@@ -282,14 +282,14 @@
   /** Ends it; what it carried gets its outcome by how far it had come. */
   private void lose(String why) {
     if (!closed) {
-      Reach reach = reach();
+      AttemptProgress reach = reach();
       drop();
       ended(new AttemptEnd.Broken<>(reach, why));
     }
   }
 
-  private Reach reach() {
-    return up ? handler.reach() : Reach.NOT_CONNECTED;
+  private AttemptProgress reach() {
+    return up ? handler.reach() : AttemptProgress.NOT_CONNECTED;
   }
 
   /** Closes it; what it carries hears nothing. */
@@ -303,8 +303,8 @@
   }
 
   @Override
-  public Reach abandon() {
-    Reach reach = reach();
+  public AttemptProgress abandon() {
+    AttemptProgress reach = reach();
     listener = null;
     if (!closed) {
       drop();
--- a/src/main/java/crankspar/net/ServerConnectionHandler.java
+++ b/src/main/java/crankspar/net/ServerConnectionHandler.java
@@ -1,7 +1,7 @@
 package crankspar.net;
 
+import crankspar.core.AttemptProgress;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import java.util.function.BooleanSupplier;
 
 /**
@@ -33,7 +33,7 @@
       Q query, byte[] encoded, BooleanSupplier current, Ports.AttemptListener<A> listener);
 
   /** How far the request at hand has come. */
-  Reach reach();
+  AttemptProgress reach();
 
   /** Whether the request before was answered whole, and another may follow on this connection. */
   boolean reusable();
--- a/src/main/java/crankspar/pg/PgFront.java
+++ b/src/main/java/crankspar/pg/PgFront.java
@@ -112,30 +112,30 @@
     double mark = s.names().containsKey("after") ? s.number("after") : Double.NaN;
     double deadline = since + Math.min(s.number("d"), c.giveUp());
     var ask =
-        new Ports.Ask<>(
+        new Ports.ClientRequest<>(
             kind, deadline, inSession ? s.key() : null, mark, (int) s.number("cluster"), s);
     if (open.putIfAbsent(id, "") != null) {
       throw new Statement.Malformed("a request with this id is open");
     }
-    pooler.take(
+    pooler.submit(
         ask,
         new Ports.Reply<>() {
           @Override
-          public void taken(String request) {
+          public void accepted(String request) {
             open.put(id, request);
           }
 
           @Override
-          public boolean present() {
-            cancels.takeShared(); // asked right before a write
+          public boolean clientConnected() {
+            cancels.deliverShared(); // asked right before a write
             if (cancels.mayHaveLost(since)) {
-              pooler.cancelled(open.get(id));
+              pooler.cancelledByClient(open.get(id));
             }
             return session.present();
           }
 
           @Override
-          public void began(PgAnswer answer) {
+          public void answerBegan(PgAnswer answer) {
             session.began(answer);
           }
 
@@ -153,7 +153,7 @@
       Statement statement = Statement.parse(sql);
       Integer kind = classes.get(statement.text("c"));
       if (kind != null) {
-        pooler.notTaken(statement, kind, how);
+        pooler.auditNotTaken(statement, kind, how);
       }
     } catch (Statement.Malformed e) {
       counters.add("client_malformed"); // it names no request that anybody could ask for
@@ -182,12 +182,12 @@
 
   @Override
   public void gone(String id) {
-    pooler.gone(open.remove(id));
+    pooler.clientLeft(open.remove(id));
   }
 
   @Override
   public void cancel(String id) {
-    pooler.cancelled(open.get(id));
+    pooler.cancelledByClient(open.get(id));
   }
 
   @Override
@@ -233,7 +233,7 @@
 
   @Override
   public void closing(String id, String why) {
-    pooler.closing(id, why);
+    pooler.connectionClosing(id, why);
   }
 
   @Override
@@ -249,7 +249,7 @@
 
   /** What an empty query is answered from now on: no while an operator has this pooler leave. */
   @Override
-  public void leaving(boolean on) {
+  public void reportUnavailable(boolean on) {
     leaving = on;
   }
 
--- a/src/main/java/crankspar/pg/ServerSession.java
+++ b/src/main/java/crankspar/pg/ServerSession.java
@@ -2,10 +2,10 @@
 
 import crankspar.Router.Role;
 import crankspar.core.AttemptEnd;
-import crankspar.core.AttemptEnd.Note;
+import crankspar.core.AttemptEnd.MemberState;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import crankspar.net.Connection;
 import crankspar.net.ServerConnectionHandler;
 import crankspar.net.StreamedValue;
@@ -58,7 +58,7 @@
   private Owner owner;
   private Connection out;
   private Phase phase = Phase.DIALLED;
-  private Reach reach = Reach.NOT_CONNECTED;
+  private AttemptProgress reach = AttemptProgress.NOT_CONNECTED;
   private Statement statement;
   private Ports.AttemptListener<PgAnswer> listener;
   private PgMessage.RowDescription columns;
@@ -80,7 +80,7 @@
   }
 
   @Override
-  public Reach reach() {
+  public AttemptProgress reach() {
     return reach;
   }
 
@@ -106,13 +106,13 @@
       byte[] encoded,
       BooleanSupplier current,
       Ports.AttemptListener<PgAnswer> listener) {
-    Reach before = reach;
+    AttemptProgress before = reach;
     this.statement = statement;
     this.listener = listener;
     phase = Phase.ASKED;
     role = Role.UNKNOWN;
     position = Double.NaN;
-    reach = Reach.PARTLY_WRITTEN;
+    reach = AttemptProgress.PARTLY_WRITTEN;
     if (out.writeIf(current, encoded, this::whollyWritten)) {
       return true;
     }
@@ -124,8 +124,8 @@
   }
 
   private void whollyWritten() {
-    if (reach == Reach.PARTLY_WRITTEN) {
-      reach = Reach.WHOLLY_WRITTEN;
+    if (reach == AttemptProgress.PARTLY_WRITTEN) {
+      reach = AttemptProgress.WHOLLY_WRITTEN;
       listener.written();
     }
   }
@@ -222,7 +222,7 @@
     row = null;
     left = d.size();
     passage = new StreamedValue(out);
-    if (!listener.began(PgAnswer.begun(columns, d.size(), passage))) {
+    if (!listener.answerBegan(PgAnswer.begun(columns, d.size(), passage))) {
       throw new PgDecoder.Malformed("a long answer that nobody waits for");
     }
   }
@@ -258,12 +258,12 @@
     AttemptEnd<PgAnswer> how = how();
     listener = null;
     phase = Phase.IDLE;
-    reach = Reach.ANSWERED;
+    reach = AttemptProgress.ANSWERED;
     told.ended(how);
   }
 
   private AttemptEnd<PgAnswer> how() {
-    var note = new Note(role, position);
+    var note = new MemberState(role, position);
     if (phase == Phase.ERROR) {
       return switch (error.code()) {
         case "25006", "72000" -> new AttemptEnd.Missed<>(note);
@@ -294,7 +294,7 @@
    * The report that a probe brings: {@code x0=1767225600.123,x1=1}, a position in Unix seconds and
    * a role. One that cannot be read whole tells nothing.
    */
-  private Note report() {
+  private MemberState report() {
     double at = Double.NaN;
     double primary = Double.NaN;
     byte[] value = row.values().get(0);
@@ -310,7 +310,7 @@
       }
     }
     return Double.isNaN(at) || primary != 0 && primary != 1
-        ? Note.NONE
-        : new Note(primary == 1 ? Role.PRIMARY : Role.REPLICA, at);
+        ? MemberState.NONE
+        : new MemberState(primary == 1 ? Role.PRIMARY : Role.REPLICA, at);
   }
 }
--- a/src/main/java/crankspar/pooling/Client.java
+++ b/src/main/java/crankspar/pooling/Client.java
@@ -195,14 +195,14 @@
 
     /** Its server is ready for what comes next, or something has come. */
     void goOn() {
-        if (present()) {
+        if (clientConnected()) {
             pump();
         }
     }
 
-    @Override public void taken(String request) { this.request = request; }
+    @Override public void accepted(String request) { this.request = request; }
 
-    @Override public boolean present() {
+    @Override public boolean clientConnected() {
         out.readNow();
         return state != ClientState.LEAVING;
     }
@@ -248,7 +248,7 @@
     /** No place came free. */
     void refused(String why) { answer(new FinalAnswer.Refused<>(0), why); }
 
-    @Override public void began(Answer answer) {
+    @Override public void answerBegan(Answer answer) {
         if (state == ClientState.LOGIN) {
             return;
         }
@@ -321,7 +321,7 @@
      * client had sent before is read first.
      */
     void cancelled() {
-        if (!present() || state == ClientState.LOGIN) {
+        if (!clientConnected() || state == ClientState.LOGIN) {
             return;
         }
         if (lease != null) {
--- a/src/main/java/crankspar/pooling/Lease.java
+++ b/src/main/java/crankspar/pooling/Lease.java
@@ -1,9 +1,9 @@
 package crankspar.pooling;
 
 import crankspar.core.AttemptEnd;
-import crankspar.core.AttemptEnd.Note;
+import crankspar.core.AttemptEnd.MemberState;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -118,7 +118,8 @@
       server.finish(new AttemptEnd.Served<>(new Answer(List.of(), this), note()));
       return;
     }
-    boolean wanted = listener.wanted(); // the last check before a write; it may end this attempt
+    boolean wanted =
+        listener.stillWanted(); // the last check before a write; it may end this attempt
     if (!active()) {
       return;
     }
@@ -126,12 +127,13 @@
       server.finish(new AttemptEnd.Unsent<>("nobody waits for it any more"));
     } else if (server.pool().now() > latestStart) {
       server.finish(
-          new AttemptEnd.Broken<>(Reach.NOT_CONNECTED, "the connection was ready too late"));
+          new AttemptEnd.Broken<>(
+              AttemptProgress.NOT_CONNECTED, "the connection was ready too late"));
     } else {
       tellParameters();
       forward(opening.frames);
       if (active() && !kept && !opening.whole) {
-        keep(Note.NONE);
+        keep(MemberState.NONE);
       }
     }
   }
@@ -220,7 +222,7 @@
    */
   private void showErrorBeforeSync() {
     if (active() && !kept && exchange.awaitsSync()) {
-      keep(Note.NONE);
+      keep(MemberState.NONE);
     }
   }
 
@@ -234,17 +236,17 @@
     }
     frames.forEach(this::hold);
     if (heldBytes > HELD_MOST || exchange.copying()) {
-      keep(Note.NONE);
+      keep(MemberState.NONE);
     }
   }
 
   /** From here on it is its client's: what has come is shown, and nothing is sent elsewhere. */
-  private void keep(Note note) {
+  private void keep(MemberState note) {
     kept = true;
     progress.shown();
     List<Frame> shown = held;
     held = new ArrayList<>(0);
-    if (!listener.held(new Answer(shown, this), note) && active()) {
+    if (!listener.answeredInTransaction(new Answer(shown, this), note) && active()) {
       server.fail("nobody waits for it any more");
     }
   }
@@ -329,8 +331,8 @@
     server.finish(new AttemptEnd.Served<>(new Answer(said, this), note()));
   }
 
-  private Note note() {
-    return new Note(server.notes().role(), server.notes().position());
+  private MemberState note() {
+    return new MemberState(server.notes().role(), server.notes().position());
   }
 
   // ---- Its end.
@@ -347,14 +349,14 @@
   }
 
   /** How far its attempt had come, with its connection in this state. */
-  Reach reach(ConnectionState state) {
+  AttemptProgress reach(ConnectionState state) {
     return switch (state) {
-      case CARRYING -> Reach.PARTLY_WRITTEN;
+      case CARRYING -> AttemptProgress.PARTLY_WRITTEN;
       case ACTIVE ->
           progress.verdict() == Progress.Verdict.ELSEWHERE && !progress.executed()
-              ? Reach.PARTLY_WRITTEN
-              : Reach.WHOLLY_WRITTEN;
-      default -> Reach.NOT_CONNECTED;
+              ? AttemptProgress.PARTLY_WRITTEN
+              : AttemptProgress.WHOLLY_WRITTEN;
+      default -> AttemptProgress.NOT_CONNECTED;
     };
   }
 
--- a/src/main/java/crankspar/pooling/MemberRefusal.java
+++ b/src/main/java/crankspar/pooling/MemberRefusal.java
@@ -2,7 +2,7 @@
 
 import crankspar.Router.Role;
 import crankspar.core.AttemptEnd;
-import crankspar.core.AttemptEnd.Note;
+import crankspar.core.AttemptEnd.MemberState;
 import java.util.Set;
 
 /** Errors by which a member turns a batch away untouched: the module hears them, not the client. */
@@ -21,7 +21,7 @@
   private MemberRefusal() {}
 
   /** How the attempt ends where the batch's answer is such an error, else null. */
-  static AttemptEnd<Answer> of(Opening opening, Exchange exchange, Note note) {
+  static AttemptEnd<Answer> of(Opening opening, Exchange exchange, MemberState note) {
     boolean write = opening.way.write();
     boolean blockAtReplica =
         opening.onlyBegin && note.role() == Role.REPLICA && exchange.status() == 'T';
--- a/src/main/java/crankspar/pooling/PoolingFront.java
+++ b/src/main/java/crankspar/pooling/PoolingFront.java
@@ -175,9 +175,9 @@
         Opening opening = client.opening();
         Route.Way way = opening.way;
         client.placed();
-        var ask = new Ports.Ask<>(way.requestClass(), client.askedAt() + way.ttl(), "client-" + client.process(), way.mark(),
+        var ask = new Ports.ClientRequest<>(way.requestClass(), client.askedAt() + way.ttl(), "client-" + client.process(), way.mark(),
                 way.group(), opening);
-        pooler.take(ask, client);
+        pooler.submit(ask, client);
     }
 
     @Override public void over(Client client) { free(client); }
@@ -199,7 +199,7 @@
         String request = client.request;
         client.request = null;
         if (request != null) {
-            pooler.gone(request);
+            pooler.clientLeft(request);
         }
         free(client);
     }
--- a/src/main/java/crankspar/pooling/Server.java
+++ b/src/main/java/crankspar/pooling/Server.java
@@ -1,8 +1,8 @@
 package crankspar.pooling;
 
 import crankspar.core.AttemptEnd;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import crankspar.net.Connection;
 import crankspar.net.ConnectionHandler;
 import crankspar.net.SocketConnection;
@@ -348,14 +348,14 @@
   }
 
   /** How far its attempt had come. */
-  private Reach reach() {
-    return lease == null ? Reach.NOT_CONNECTED : lease.reach(state);
+  private AttemptProgress reach() {
+    return lease == null ? AttemptProgress.NOT_CONNECTED : lease.reach(state);
   }
 
   /** The core gives it up, or the client has gone: what is quiet is cleaned, all else is closed. */
   @Override
-  public Reach abandon() {
-    Reach reach = reach();
+  public AttemptProgress abandon() {
+    AttemptProgress reach = reach();
     if (state == ConnectionState.CLOSED || lease == null) {
       return reach;
     }
@@ -377,7 +377,7 @@
     if (state == ConnectionState.CLOSED) {
       return;
     }
-    Reach reach = reach();
+    AttemptProgress reach = reach();
     Lease had = lease;
     if (had != null) {
       had.lost(state == ConnectionState.ACTIVE);
--- a/src/main/java/crankspar/pooling/Servers.java
+++ b/src/main/java/crankspar/pooling/Servers.java
@@ -1,9 +1,9 @@
 package crankspar.pooling;
 
 import crankspar.core.AttemptEnd;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import crankspar.net.Connection;
 import crankspar.net.ConnectionHandler;
 import crankspar.net.EventLoop;
@@ -211,8 +211,8 @@
   }
 
   private Ports.Call refuse(Ports.AttemptListener<Answer> listener, String why) {
-    listener.ended(new AttemptEnd.Broken<>(Reach.NOT_CONNECTED, why));
-    return () -> Reach.NOT_CONNECTED;
+    listener.ended(new AttemptEnd.Broken<>(AttemptProgress.NOT_CONNECTED, why));
+    return () -> AttemptProgress.NOT_CONNECTED;
   }
 
   private static List<Server> idle(Member m, ServerKey key) {
@@ -251,8 +251,8 @@
         how ->
             end.accept(
                 how instanceof AttemptEnd.Served<PgAnswer> s
-                    ? new AttemptEnd.Served<>(null, s.note())
-                    : new AttemptEnd.Broken<>(Reach.ANSWERED, "no report")));
+                    ? new AttemptEnd.Served<>(null, s.memberState())
+                    : new AttemptEnd.Broken<>(AttemptProgress.ANSWERED, "no report")));
   }
 
   // ---- What connections tell.
--- a/src/main/java/crankspar/rest/KeyedWrites.java
+++ b/src/main/java/crankspar/rest/KeyedWrites.java
@@ -145,7 +145,7 @@
     }
     var answered = new boolean[1];
     var ask =
-        new Ports.Ask<>(
+        new Ports.ClientRequest<>(
             write.requestClass(),
             write.deadline(),
             write.client(),
@@ -153,7 +153,7 @@
             write.query().group(),
             write.query());
     String request =
-        pooler.take(
+        pooler.submit(
             ask,
             RestReply.kept(
                 write.session(),
@@ -209,7 +209,7 @@
 
   /** Its deadline, or when this process has to have answered all if that is earlier. */
   private double lastMoment(Write write) {
-    return Math.min(write.deadline(), pooler.answersBy());
+    return Math.min(write.deadline(), pooler.shutdownDeadline());
   }
 
   private void tellBy(double moment, Consumer<byte[]> tell, byte[] response) {
@@ -233,7 +233,7 @@
   void left(RestSession session) {
     String request = requests.remove(session);
     if (request != null) {
-      pooler.left(request);
+      pooler.clientLeftKeepingAnswer(request);
     }
   }
 }
--- a/src/main/java/crankspar/rest/Problem.java
+++ b/src/main/java/crankspar/rest/Problem.java
@@ -1,7 +1,7 @@
 package crankspar.rest;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import crankspar.http.HttpText;
+import crankspar.http.HttpEncoder;
 import crankspar.json.Json;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -27,7 +27,7 @@
     var all = new LinkedHashMap<String, String>();
     all.put("Content-Type", MEDIA_TYPE);
     all.putAll(headers);
-    return HttpText.response(status, all, json());
+    return HttpEncoder.response(status, all, json());
   }
 
   private byte[] json() {
--- a/src/main/java/crankspar/rest/RestFront.java
+++ b/src/main/java/crankspar/rest/RestFront.java
@@ -7,8 +7,8 @@
 import crankspar.core.Front;
 import crankspar.core.Pooler;
 import crankspar.core.Ports;
+import crankspar.http.HttpEncoder;
 import crankspar.http.HttpHead;
-import crankspar.http.HttpText;
 import crankspar.json.Json;
 import crankspar.net.Clients;
 import crankspar.net.EventLoop;
@@ -206,8 +206,8 @@
     boolean[] answered = new boolean[1];
     double shown = mark;
     String id =
-        pooler.take(
-            new Ports.Ask<>(kind, deadline, key, q.mark(), group, q),
+        pooler.submit(
+            new Ports.ClientRequest<>(kind, deadline, key, q.mark(), group, q),
             RestReply.ofRead(
                 session,
                 answer -> {
@@ -270,7 +270,7 @@
   public void left(RestSession session) {
     String read = reads.remove(session);
     if (read != null) {
-      pooler.gone(read);
+      pooler.clientLeft(read);
     }
     writes.left(session);
   }
@@ -286,7 +286,7 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    return HttpText.response(200, Map.of("Content-Type", "application/json"), out.toByteArray());
+    return HttpEncoder.response(200, Map.of("Content-Type", "application/json"), out.toByteArray());
   }
 
   private static Map<String, String> parameters(String text) throws Bad {
--- a/src/main/java/crankspar/rest/RestReply.java
+++ b/src/main/java/crankspar/rest/RestReply.java
@@ -9,7 +9,7 @@
  *
  * @param kept whether it is of use though the client has left
  */
-record RestReply(RestSession session, boolean kept, Consumer<FinalAnswer<RestAnswer>> told)
+record RestReply(RestSession session, boolean keepsAnswer, Consumer<FinalAnswer<RestAnswer>> told)
     implements Ports.Reply<RestAnswer> {
   static RestReply kept(RestSession session, Consumer<FinalAnswer<RestAnswer>> told) {
     return new RestReply(session, true, told);
@@ -20,7 +20,7 @@
   }
 
   @Override
-  public boolean present() {
+  public boolean clientConnected() {
     return session.present();
   }
 
--- a/src/main/java/crankspar/rest/RestServerSession.java
+++ b/src/main/java/crankspar/rest/RestServerSession.java
@@ -4,13 +4,13 @@
 import com.fasterxml.jackson.core.JsonToken;
 import crankspar.Router.Role;
 import crankspar.core.AttemptEnd;
-import crankspar.core.AttemptEnd.Note;
+import crankspar.core.AttemptEnd.MemberState;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
+import crankspar.http.HttpEncoder;
 import crankspar.http.HttpHead;
 import crankspar.http.HttpParser;
-import crankspar.http.HttpText;
 import crankspar.json.Json;
 import crankspar.net.Connection;
 import crankspar.net.ServerConnectionHandler;
@@ -41,7 +41,7 @@
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private Owner owner;
   private Connection out;
-  private Reach reach = Reach.NOT_CONNECTED;
+  private AttemptProgress reach = AttemptProgress.NOT_CONNECTED;
   private RestQuery query;
   private double least;
   private HttpHead.Response head;
@@ -60,13 +60,13 @@
   }
 
   @Override
-  public Reach reach() {
+  public AttemptProgress reach() {
     return reach;
   }
 
   @Override
   public boolean reusable() {
-    return reach == Reach.ANSWERED && keepAlive;
+    return reach == AttemptProgress.ANSWERED && keepAlive;
   }
 
   @Override
@@ -88,7 +88,7 @@
       headers.put("Idempotency-Key", q.idempotencyKey());
       headers.put("Content-Type", "application/json");
     }
-    return HttpText.request(
+    return HttpEncoder.request(
         q.write() ? "POST" : "GET", target(q), headers, q.body() == null ? new byte[0] : q.body());
   }
 
@@ -98,10 +98,10 @@
       byte[] encoded,
       BooleanSupplier current,
       Ports.AttemptListener<RestAnswer> told) {
-    Reach before = reach;
+    AttemptProgress before = reach;
     query = q;
     listener = told;
-    reach = Reach.PARTLY_WRITTEN;
+    reach = AttemptProgress.PARTLY_WRITTEN;
     if (out.writeIf(current, encoded, this::whollyWritten)) {
       return true;
     }
@@ -112,8 +112,8 @@
   }
 
   private void whollyWritten() {
-    if (reach == Reach.PARTLY_WRITTEN) {
-      reach = Reach.WHOLLY_WRITTEN;
+    if (reach == AttemptProgress.PARTLY_WRITTEN) {
+      reach = AttemptProgress.WHOLLY_WRITTEN;
       listener.written();
     }
   }
@@ -202,7 +202,7 @@
       return; // it was too long, and is given up already
     }
     AttemptEnd<RestAnswer> how = how();
-    reach = Reach.ANSWERED;
+    reach = AttemptProgress.ANSWERED;
     told.ended(how);
     if (!keepAlive) {
       out.close();
@@ -213,8 +213,8 @@
   /** Each status stands for one outcome of the protocol's table. */
   private AttemptEnd<RestAnswer> how() {
     String role = head.header("role");
-    Note note =
-        new Note(
+    MemberState note =
+        new MemberState(
             "primary".equals(role)
                 ? Role.PRIMARY
                 : "replica".equals(role) ? Role.REPLICA : Role.UNKNOWN,
@@ -255,12 +255,12 @@
       return new AttemptEnd.Served<>(
           new RestAnswer(200, "", bytes, null, null),
           !known
-              ? Note.NONE
-              : new Note(
+              ? MemberState.NONE
+              : new MemberState(
                   "primary".equals(report.get("role")) ? Role.PRIMARY : Role.REPLICA,
                   ((Number) report.get("position")).doubleValue()));
     } catch (IOException e) {
-      return new AttemptEnd.Erred<>(Note.NONE, "no load report");
+      return new AttemptEnd.Erred<>(MemberState.NONE, "no load report");
     }
   }
 
@@ -268,7 +268,7 @@
    * The items stay as they came: cut out, not read and written anew, so that no number changes its
    * digits.
    */
-  private AttemptEnd<RestAnswer> page(int status, String type, byte[] bytes, Note note) {
+  private AttemptEnd<RestAnswer> page(int status, String type, byte[] bytes, MemberState note) {
     String items = null;
     String next = null;
     try (JsonParser p = Json.FACTORY.createParser(bytes)) {
--- a/src/main/java/crankspar/rest/RestSession.java
+++ b/src/main/java/crankspar/rest/RestSession.java
@@ -163,7 +163,7 @@
     }
     return now != null || !waiting.isEmpty()
         ? Standing.BUSY
-        : !parser.between() ? Standing.HALF : calls == 0 ? Standing.NEW : Standing.IDLE;
+        : !parser.betweenMessages() ? Standing.HALF : calls == 0 ? Standing.NEW : Standing.IDLE;
   }
 
   @Override
@@ -173,7 +173,7 @@
 
   @Override
   public boolean begun() {
-    return !parser.between();
+    return !parser.betweenMessages();
   }
 
   @Override
--- a/src/main/java/crankspar/rest/RestWords.java
+++ b/src/main/java/crankspar/rest/RestWords.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import crankspar.core.FinalAnswer;
-import crankspar.http.HttpText;
+import crankspar.http.HttpEncoder;
 import crankspar.json.Json;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -41,7 +41,7 @@
   private static byte[] served(
       FinalAnswer.Served<RestAnswer> served, RestQuery query, double shown) {
     RestAnswer answer = served.answer();
-    double position = served.note().position();
+    double position = served.memberState().position();
     var headers = new LinkedHashMap<String, String>();
     headers.put("Content-Type", answer.contentType());
     if (!Double.isNaN(position)) {
@@ -49,13 +49,13 @@
       headers.put(name, Long.toString((long) position));
     }
     if (!answer.page()) {
-      return HttpText.response(answer.status(), headers, answer.body());
+      return HttpEncoder.response(answer.status(), headers, answer.body());
     }
     String next = answer.next() == null ? null : nextPage(answer.next(), query, position, shown);
     if (next != null) {
       headers.put("Link", "<" + next + ">; rel=\"next\"");
     }
-    return HttpText.response(answer.status(), headers, page(answer.items(), next));
+    return HttpEncoder.response(answer.status(), headers, page(answer.items(), next));
   }
 
   /** What was shown never goes back: the newest position of the pages so far goes on with them. */
--- a/src/main/java/crankspar/store/Replication.java
+++ b/src/main/java/crankspar/store/Replication.java
@@ -1,9 +1,9 @@
 package crankspar.store;
 
 import crankspar.core.Counters;
+import crankspar.http.HttpEncoder;
 import crankspar.http.HttpHead;
 import crankspar.http.HttpParser;
-import crankspar.http.HttpText;
 import crankspar.net.Connection;
 import crankspar.net.ConnectionHandler;
 import crankspar.net.EventLoop;
@@ -83,7 +83,7 @@
     @Override
     public void opened(Connection out) {
       out.write(
-          HttpText.request(
+          HttpEncoder.request(
               "GET",
               StoreResource.PATH + "?limit=" + LIMIT + "&cursor=" + cursor,
               Map.of("Host", "peer", "Connection", "close"),
--- a/src/main/java/crankspar/store/StoreResource.java
+++ b/src/main/java/crankspar/store/StoreResource.java
@@ -1,8 +1,8 @@
 package crankspar.store;
 
 import crankspar.core.Counters;
+import crankspar.http.HttpEncoder;
 import crankspar.http.HttpHead;
-import crankspar.http.HttpText;
 import crankspar.json.Json;
 import crankspar.rest.RestFront;
 import java.io.IOException;
@@ -61,7 +61,7 @@
     boolean ours =
         cursor.length == 2 && cursor[0].equals(epoch) && cursor[1].matches("[0-9]{1,18}");
     Store.Page page = store.since(ours ? Long.parseLong(cursor[1]) : 0, Integer.parseInt(limit));
-    return HttpText.response(
+    return HttpEncoder.response(
         200,
         Map.of("Content-Type", "application/json"),
         StoreJson.write(page.entries(), epoch + "-" + page.next(), page.more()));
@@ -96,7 +96,7 @@
           503, "not-durable", "The entry could not be kept; it is not in force", e.reason());
     }
     counters.add("store_writes");
-    return HttpText.response(
+    return HttpEncoder.response(
         200, Map.of("Content-Type", "application/json"), "{}".getBytes(StandardCharsets.US_ASCII));
   }
 }
--- a/src/test/java/crankspar/core/CancelRouterTest.java
+++ b/src/test/java/crankspar/core/CancelRouterTest.java
@@ -10,7 +10,7 @@
 /** Two processes of one pooler, each with one session, and what they share. */
 class CancelRouterTest {
   /** Hears only of what the other process has added. */
-  private static final class Shared implements Ports.Cancels {
+  private static final class Shared implements Ports.SharedCancels {
     private final List<Long> added = new ArrayList<>();
     private Shared other;
     private int taken;
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void afterAwake(double ms, Runnable action) {
+    public void afterExcludingStalls(double ms, Runnable action) {
       throw new UnsupportedOperationException();
     }
   }
@@ -76,7 +76,7 @@
     assertThat(cancelled).isEmpty();
     time.periodic.run();
     assertThat(cancelled).containsExactly(Integer.MAX_VALUE + " -7");
-    successor.takeShared();
+    successor.deliverShared();
     assertThat(atOld.added).as("what names nobody here either is not sent back").isEmpty();
     assertThat(counters.get("cancels_unknown")).isEqualTo(2);
     assertThat(counters.get("cancels_from_another_process")).isEqualTo(1);
@@ -86,7 +86,7 @@
   void itServesWhereNothingIsShared() {
     CancelRouter alone = router(1, 2);
     alone.cancel(3, 4);
-    alone.takeShared();
+    alone.deliverShared();
     alone.cancel(1, 2);
     assertThat(cancelled).containsExactly("1 2");
   }
--- a/src/test/java/crankspar/core/LastCheckTest.java
+++ b/src/test/java/crankspar/core/LastCheckTest.java
@@ -84,8 +84,8 @@
       Ports.AttemptListener<String> listener) {
     now += passes;
     this.listener = listener;
-    wanted = listener.wanted();
-    return () -> Reach.NOT_CONNECTED;
+    wanted = listener.stillWanted();
+    return () -> AttemptProgress.NOT_CONNECTED;
   }
 
   @Override
@@ -95,11 +95,11 @@
 
   private void take(int requestClass, double passes) {
     this.passes = passes;
-    pooler.take(
-        new Ports.Ask<>(requestClass, now + DEADLINE_MS, "s", Double.NaN, 2, "query"),
+    pooler.submit(
+        new Ports.ClientRequest<>(requestClass, now + DEADLINE_MS, "s", Double.NaN, 2, "query"),
         new Ports.Reply<>() {
           @Override
-          public boolean present() {
+          public boolean clientConnected() {
             return present;
           }
 
@@ -136,7 +136,7 @@
     present = false;
     take(FRESH, 0);
     assertThat(wanted).isFalse();
-    assertThat(pooler.owing()).isZero();
+    assertThat(pooler.unansweredCount()).isZero();
     assertThat(counters.get("gone")).isEqualTo(1);
     listener.ended(new AttemptEnd.Unsent<>("not wanted"));
     assertThat(answers).isEmpty();
--- a/src/test/java/crankspar/core/PoolerFixture.java
+++ b/src/test/java/crankspar/core/PoolerFixture.java
@@ -26,7 +26,7 @@
   final Counters counters = new Counters();
   Ports.AttemptListener<String> listener;
   Consumer<AttemptEnd<String>> end;
-  Reach reach = Reach.WHOLLY_WRITTEN;
+  AttemptProgress reach = AttemptProgress.WHOLLY_WRITTEN;
   double heardPosition;
   Runnable beforeWrite = () -> {};
   boolean depth;
@@ -132,7 +132,7 @@
     end = listener::ended;
     beforeWrite.run();
     if (query.equals("inline")) {
-      end.accept(new AttemptEnd.Served<>("now", AttemptEnd.Note.NONE));
+      end.accept(new AttemptEnd.Served<>("now", AttemptEnd.MemberState.NONE));
     }
     return () -> reach;
   }
@@ -143,7 +143,8 @@
   }
 
   String take(String query) {
-    return pooler.take(new Ports.Ask<>(4, now + 500, "s", Double.NaN, 1, query), answers::add);
+    return pooler.submit(
+        new Ports.ClientRequest<>(4, now + 500, "s", Double.NaN, 1, query), answers::add);
   }
 
   void at(double ms) {
--- a/src/test/java/crankspar/core/PoolerTest.java
+++ b/src/test/java/crankspar/core/PoolerTest.java
@@ -15,10 +15,11 @@
   void anEndInsideItsOwnSendIsHeardAfterTheCall() {
     take("inline");
     assertThat(heard).containsExactly("request", "OK over");
-    assertThat(answers).containsExactly(new FinalAnswer.Served<>("now", AttemptEnd.Note.NONE));
+    assertThat(answers)
+        .containsExactly(new FinalAnswer.Served<>("now", AttemptEnd.MemberState.NONE));
     at(2000);
     assertThat(answers).hasSize(1);
-    assertThat(pooler.owing()).isZero();
+    assertThat(pooler.unansweredCount()).isZero();
   }
 
   @Test
@@ -29,7 +30,7 @@
     assertThat(answers).containsExactly(new FinalAnswer.Failed<>(true, "given up"));
     heard.clear();
     answers.clear();
-    reach = Reach.NOT_CONNECTED;
+    reach = AttemptProgress.NOT_CONNECTED;
     take("q");
     at(1000);
     assertThat(heard).containsExactly("request", "MOOT");
@@ -39,18 +40,18 @@
   @Test
   void aLateEndAfterTheClientLeftBringsNoAnswerAndNoSecondOutcome() {
     String id = take("q");
-    end.accept(new AttemptEnd.Missed<>(AttemptEnd.Note.NONE));
-    pooler.gone(id);
-    end.accept(new AttemptEnd.Served<>("late", AttemptEnd.Note.NONE));
+    end.accept(new AttemptEnd.Missed<>(AttemptEnd.MemberState.NONE));
+    pooler.clientLeft(id);
+    end.accept(new AttemptEnd.Served<>("late", AttemptEnd.MemberState.NONE));
     assertThat(heard).containsExactly("request", "MISS", "gone", "CANCELLED over");
     at(2000);
     assertThat(answers).isEmpty();
-    assertThat(pooler.owing()).isZero();
+    assertThat(pooler.unansweredCount()).isZero();
   }
 
   @Test
   void brokenAttemptsAreToldByHowFarTheyHadCome() {
-    for (Reach r : Reach.values()) {
+    for (AttemptProgress r : AttemptProgress.values()) {
       heard.clear();
       take("q");
       end.accept(new AttemptEnd.Broken<>(r, "test"));
@@ -68,12 +69,12 @@
   @Test
   void aCancelWithinTheSendOfItsRequestKeepsItFromBeingWritten() {
     var names = new ArrayList<String>();
-    beforeWrite = () -> pooler.cancelled(names.get(0));
-    pooler.take(
-        new Ports.Ask<>(4, now + 500, "s", Double.NaN, 1, "q"),
+    beforeWrite = () -> pooler.cancelledByClient(names.get(0));
+    pooler.submit(
+        new Ports.ClientRequest<>(4, now + 500, "s", Double.NaN, 1, "q"),
         new Ports.Reply<>() {
           @Override
-          public void taken(String request) {
+          public void accepted(String request) {
             names.add(request);
           }
 
@@ -82,7 +83,7 @@
             answers.add(answer);
           }
         });
-    assertThat(listener.wanted()).isFalse();
+    assertThat(listener.stillWanted()).isFalse();
     assertThat(heard).containsExactly("request", "gone", "CANCELLED over");
     assertThat(answers).containsExactly(new FinalAnswer.Failed<>(false, "canceled by its client"));
   }
@@ -103,11 +104,13 @@
   void aPositionAheadOfTheClockIsNoNews() {
     for (double position : new double[] {now + 5000, 1e300, Double.POSITIVE_INFINITY, -1}) {
       take("q");
-      end.accept(new AttemptEnd.Served<>("a", new AttemptEnd.Note(Router.Role.REPLICA, position)));
+      end.accept(
+          new AttemptEnd.Served<>("a", new AttemptEnd.MemberState(Router.Role.REPLICA, position)));
       assertThat(heardPosition).as("" + position).isNaN();
     }
     take("q");
-    end.accept(new AttemptEnd.Served<>("a", new AttemptEnd.Note(Router.Role.REPLICA, now - 5)));
+    end.accept(
+        new AttemptEnd.Served<>("a", new AttemptEnd.MemberState(Router.Role.REPLICA, now - 5)));
     assertThat(heardPosition).isEqualTo(now - 5);
   }
 
@@ -117,11 +120,11 @@
   @Test
   void anAnswerThatHasBegunHasNoTimeOutAndItsBreakIsItsEnd() {
     var begun = new ArrayList<String>();
-    pooler.take(
-        new Ports.Ask<>(3, now + 500, "s", Double.NaN, 1, "q"),
+    pooler.submit(
+        new Ports.ClientRequest<>(3, now + 500, "s", Double.NaN, 1, "q"),
         new Ports.Reply<>() {
           @Override
-          public void began(String answer) {
+          public void answerBegan(String answer) {
             begun.add(answer);
           }
 
@@ -130,18 +133,18 @@
             answers.add(answer);
           }
         });
-    assertThat(listener.began("head")).isTrue();
+    assertThat(listener.answerBegan("head")).isTrue();
     assertThat(begun).containsExactly("head");
     at(5000);
     assertThat(heard).as("a read is answered for the module").containsExactly("request", "OK over");
     assertThat(answers).isEmpty();
-    assertThat(pooler.owing()).isEqualTo(1);
-    end.accept(new AttemptEnd.Broken<>(Reach.WHOLLY_WRITTEN, "test"));
+    assertThat(pooler.unansweredCount()).isEqualTo(1);
+    end.accept(new AttemptEnd.Broken<>(AttemptProgress.WHOLLY_WRITTEN, "test"));
     assertThat(answers).containsExactly(new FinalAnswer.Failed<>(true, "the answer broke off"));
     assertThat(heard).hasSize(2);
-    assertThat(pooler.figures().errors(3)).isEqualTo(1);
-    assertThat(pooler.figures().tries()).isEqualTo(1);
-    assertThat(listener.began("late")).as("nobody waits any more").isFalse();
+    assertThat(pooler.stats().errors(3)).isEqualTo(1);
+    assertThat(pooler.stats().attemptsWritten()).isEqualTo(1);
+    assertThat(listener.answerBegan("late")).as("nobody waits any more").isFalse();
   }
 
   /** Guards against an end by the kill: what a handover cannot wait for is answered before it. */
@@ -149,9 +152,9 @@
   void givingUpAnswersAllThatIsOwedOnce() {
     take("q");
     take("q");
-    pooler.giveUp(0);
+    pooler.failUnanswered(0);
     assertThat(answers).hasSize(2).allMatch(a -> a instanceof FinalAnswer.Failed<String>);
-    assertThat(pooler.owing()).isZero();
+    assertThat(pooler.unansweredCount()).isZero();
     at(2000);
     assertThat(answers).hasSize(2);
   }
@@ -161,7 +164,7 @@
    */
   @Test
   void whatIsTakenDuringAStopIsAnsweredByItsEnd() {
-    pooler.answerBy(now + 200);
+    pooler.setShutdownDeadline(now + 200);
     take("q");
     at(199);
     assertThat(answers).isEmpty();
--- a/src/test/java/crankspar/core/SecondCopyTest.java
+++ b/src/test/java/crankspar/core/SecondCopyTest.java
@@ -72,7 +72,7 @@
               sent.add(listener);
               return () -> {
                 abandoned.add(member);
-                return Reach.WHOLLY_WRITTEN;
+                return AttemptProgress.WHOLLY_WRITTEN;
               };
             }
 
@@ -105,7 +105,7 @@
   }
 
   private void ask(Pooler<String, String> of) {
-    of.take(new Ports.Ask<>(0, now + 500, "s", Double.NaN, 1, "q"), answers::add);
+    of.submit(new Ports.ClientRequest<>(0, now + 500, "s", Double.NaN, 1, "q"), answers::add);
   }
 
   /**
@@ -121,11 +121,12 @@
     c.actions.send(c.id, "o", 0);
     assertThat(c.sent).hasSize(2);
     assertThat(c.told).containsExactly("o MOOT");
-    c.sent.get(1).ended(new AttemptEnd.Served<>("mine", AttemptEnd.Note.NONE));
-    assertThat(answers).containsExactly(new FinalAnswer.Served<>("mine", AttemptEnd.Note.NONE));
+    c.sent.get(1).ended(new AttemptEnd.Served<>("mine", AttemptEnd.MemberState.NONE));
+    assertThat(answers)
+        .containsExactly(new FinalAnswer.Served<>("mine", AttemptEnd.MemberState.NONE));
     assertThat(c.told).containsExactly("o MOOT", "n OK over", "m CANCELLED over");
     assertThat(c.abandoned).containsExactly("m");
-    c.sent.get(0).ended(new AttemptEnd.Served<>("late", AttemptEnd.Note.NONE));
+    c.sent.get(0).ended(new AttemptEnd.Served<>("late", AttemptEnd.MemberState.NONE));
     at(2000);
     assertThat(answers).hasSize(1);
   }
@@ -147,11 +148,11 @@
     var c = new Copying();
     var began = new ArrayList<String>();
     Pooler<String, String> of = c.pooler(true);
-    of.take(
-        new Ports.Ask<>(0, now + 500, "s", Double.NaN, 1, "q"),
+    of.submit(
+        new Ports.ClientRequest<>(0, now + 500, "s", Double.NaN, 1, "q"),
         new Ports.Reply<String>() {
           @Override
-          public void began(String answer) {
+          public void answerBegan(String answer) {
             began.add(answer);
           }
 
@@ -161,11 +162,11 @@
           }
         });
     c.actions.send(c.id, "n", 0);
-    assertThat(c.sent.get(0).began("long")).isTrue();
-    assertThat(c.sent.get(1).began("other")).isFalse();
-    c.sent.get(1).ended(new AttemptEnd.Served<>("other", AttemptEnd.Note.NONE));
+    assertThat(c.sent.get(0).answerBegan("long")).isTrue();
+    assertThat(c.sent.get(1).answerBegan("other")).isFalse();
+    c.sent.get(1).ended(new AttemptEnd.Served<>("other", AttemptEnd.MemberState.NONE));
     assertThat(answers).isEmpty();
-    c.sent.get(0).ended(new AttemptEnd.Broken<>(Reach.ANSWERED, "broke"));
+    c.sent.get(0).ended(new AttemptEnd.Broken<>(AttemptProgress.ANSWERED, "broke"));
     assertThat(answers).hasSize(1).first().isInstanceOf(FinalAnswer.Failed.class);
     assertThat(began).containsExactly("long");
   }
--- a/src/test/java/crankspar/duties/SharedProbesTest.java
+++ b/src/test/java/crankspar/duties/SharedProbesTest.java
@@ -5,10 +5,10 @@
 import crankspar.Router;
 import crankspar.TestSettings;
 import crankspar.core.AttemptEnd;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.Pooler;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import crankspar.discovery.Watch;
 import crankspar.membership.Swim;
 import crankspar.net.EventLoop;
@@ -55,7 +55,7 @@
                 double left,
                 double within,
                 Ports.AttemptListener<String> listener) {
-              return () -> Reach.NOT_CONNECTED;
+              return () -> AttemptProgress.NOT_CONNECTED;
             }
 
             @Override
@@ -66,8 +66,8 @@
                   () ->
                       end.accept(
                           new AttemptEnd.Served<>(
-                              "", new AttemptEnd.Note(Router.Role.PRIMARY, loop.now()))));
-              return () -> Reach.ANSWERED;
+                              "", new AttemptEnd.MemberState(Router.Role.PRIMARY, loop.now()))));
+              return () -> AttemptProgress.ANSWERED;
             }
           };
       var core =
--- a/src/test/java/crankspar/handover/SessionRingTest.java
+++ b/src/test/java/crankspar/handover/SessionRingTest.java
@@ -22,17 +22,17 @@
   void aSuccessorKnowsWhatItsPredecessorsSessionsHaveWritten() throws Exception {
     var old = SessionRing.open(dir.resolve("ring"));
     assertThat(java.nio.file.Files.size(dir.resolve("ring"))).isEqualTo(SessionRing.BYTES);
-    old.wrote("s1", 1000.2);
-    old.wrote("s1", 900);
+    old.writeCommitted("s1", 1000.2);
+    old.writeCommitted("s1", 900);
     var next = SessionRing.open(dir.resolve("ring"));
-    assertThat(next.need("s1")).isEqualTo(1001);
-    assertThat(next.need("s2")).isNaN();
-    old.wrote("s2", 1100); // while both serve
-    next.wrote("s3", 1200);
-    assertThat(next.need("s2")).isEqualTo(1100);
-    assertThat(old.need("s3")).isEqualTo(1200);
-    old.wrote("s4", Double.NaN);
-    assertThat(next.need("s4")).isNaN();
+    assertThat(next.requiredPosition("s1")).isEqualTo(1001);
+    assertThat(next.requiredPosition("s2")).isNaN();
+    old.writeCommitted("s2", 1100); // while both serve
+    next.writeCommitted("s3", 1200);
+    assertThat(next.requiredPosition("s2")).isEqualTo(1100);
+    assertThat(old.requiredPosition("s3")).isEqualTo(1200);
+    old.writeCommitted("s4", Double.NaN);
+    assertThat(next.requiredPosition("s4")).isNaN();
   }
 
   /** What the ring has no room for is not forgotten: every session waits for the newest of it. */
@@ -41,12 +41,12 @@
     var old = SessionRing.open(dir.resolve("ring"));
     var late = SessionRing.open(dir.resolve("ring"));
     for (int i = 0; i < SessionRing.SLOTS + 3; i++) {
-      old.wrote("s" + i, 1000 + i);
+      old.writeCommitted("s" + i, 1000 + i);
     }
     for (SessionRing r : List.of(late, SessionRing.open(dir.resolve("ring")))) {
-      assertThat(r.need("s1")).isEqualTo(1002);
-      assertThat(r.need("never seen")).isEqualTo(1002);
-      assertThat(r.need("s4000")).isEqualTo(5000);
+      assertThat(r.requiredPosition("s1")).isEqualTo(1002);
+      assertThat(r.requiredPosition("never seen")).isEqualTo(1002);
+      assertThat(r.requiredPosition("s4000")).isEqualTo(5000);
     }
   }
 
@@ -58,14 +58,14 @@
   void aWriterThatWasKilledOnTheWayHoldsUpNothing() {
     ByteBuffer shared = ByteBuffer.allocateDirect(SessionRing.BYTES).order(ByteOrder.nativeOrder());
     var killed = new SessionRing(shared);
-    killed.wrote("a", 10);
+    killed.writeCommitted("a", 10);
     shared.putLong(0, 2); // claimed, and never written
     var next = new SessionRing(shared);
     var beside = new SessionRing(shared);
-    next.wrote("b", 20);
-    assertThat(beside.need("b")).isEqualTo(20);
-    assertThat(next.need("b")).isEqualTo(20);
-    assertThat(next.need("a")).isEqualTo(10);
+    next.writeCommitted("b", 20);
+    assertThat(beside.requiredPosition("b")).isEqualTo(20);
+    assertThat(next.requiredPosition("b")).isEqualTo(20);
+    assertThat(next.requiredPosition("a")).isEqualTo(10);
   }
 
   /** However long it stays so. */
@@ -73,12 +73,12 @@
   void anEntryThatIsNeverWrittenIsPassedOver() {
     ByteBuffer shared = ByteBuffer.allocateDirect(SessionRing.BYTES).order(ByteOrder.nativeOrder());
     var ring = new SessionRing(shared);
-    ring.wrote("a", 10);
+    ring.writeCommitted("a", 10);
     shared.putLong(0, 2); // claimed, and never written
     for (int i = 0; i < SessionRing.SLOTS / 2; i++) {
-      ring.wrote("b" + i, 20 + i);
+      ring.writeCommitted("b" + i, 20 + i);
     }
-    assertThat(new SessionRing(shared).need("b7")).isEqualTo(27);
+    assertThat(new SessionRing(shared).requiredPosition("b7")).isEqualTo(27);
   }
 
   /** Never less than what was written, however two processes take turns. */
@@ -89,9 +89,10 @@
     Map<String, Integer> all = new HashMap<>();
     for (int i = 0; i < writes.size(); i++) {
       String session = "s" + writes.get(i) / 2;
-      rings.get(writes.get(i) % 2).wrote(session, 100 + i);
+      rings.get(writes.get(i) % 2).writeCommitted(session, 100 + i);
       all.put(session, 100 + i);
-      assertThat(rings.get(i % 2).need(session)).isGreaterThanOrEqualTo(all.get(session));
+      assertThat(rings.get(i % 2).requiredPosition(session))
+          .isGreaterThanOrEqualTo(all.get(session));
     }
   }
 }
--- a/src/test/java/crankspar/net/HandedOverTest.java
+++ b/src/test/java/crankspar/net/HandedOverTest.java
@@ -6,11 +6,11 @@
 import crankspar.Router.ListKind;
 import crankspar.Router.Member;
 import crankspar.TestSettings;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.FinalAnswer;
 import crankspar.core.Pooler;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import crankspar.pg.Pg;
 import crankspar.pg.PgAnswer;
 import crankspar.pg.PgFront;
@@ -106,7 +106,7 @@
       var settled = new CountDownLatch(1);
       loop.after(200, settled::countDown);
       settled.await(); // all of them rest
-      var reaches = new ArrayList<Reach>();
+      var reaches = new ArrayList<AttemptProgress>();
       loop.runAndWait(
           () ->
               seconds.forEach(
@@ -117,7 +117,7 @@
       for (int i = 0; i < many; i++) {
         assertThat(server.next()).as("each came whole").contains("second");
       }
-      assertThat(reaches).hasSize(many).allMatch(Reach::mayHaveRun);
+      assertThat(reaches).hasSize(many).allMatch(AttemptProgress::mayHaveRun);
       var opened = new long[1];
       loop.runAndWait(() -> opened[0] = counters.all().get("server_connections_opened"));
       assertThat(opened[0]).isEqualTo(many);
@@ -219,8 +219,9 @@
           () -> {
             pool.locate("a", a.address());
             pool.locate("b", b.address());
-            core.take(
-                new Ports.Ask<>(4, loop.now() + 3000, "u", Double.NaN, 2, write), answer::complete);
+            core.submit(
+                new Ports.ClientRequest<>(4, loop.now() + 3000, "u", Double.NaN, 2, write),
+                answer::complete);
           });
       assertThat(a.next()).contains("b1");
       assertThat(b.next()).isEqualTo("dialled");
--- a/src/test/java/crankspar/net/PoolTest.java
+++ b/src/test/java/crankspar/net/PoolTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import crankspar.core.AttemptEnd;
+import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.Ports;
-import crankspar.core.Reach;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
@@ -62,15 +62,15 @@
         return false;
       }
       carried(encoded);
-      listener.ended(new AttemptEnd.Served<>("row", AttemptEnd.Note.NONE));
+      listener.ended(new AttemptEnd.Served<>("row", AttemptEnd.MemberState.NONE));
       return true;
     }
 
     void carried(byte[] encoded) {}
 
     @Override
-    public Reach reach() {
-      return Reach.ANSWERED;
+    public AttemptProgress reach() {
+      return AttemptProgress.ANSWERED;
     }
 
     @Override
@@ -219,7 +219,7 @@
       var listener =
           new Ports.AttemptListener<String>() {
             @Override
-            public boolean wanted() {
+            public boolean stillWanted() {
               if (checks.incrementAndGet()
                   == 2) { // the first comes before the connection is opened
                 spin(200);
--- a/src/test/java/crankspar/pg/GoneTest.java
+++ b/src/test/java/crankspar/pg/GoneTest.java
@@ -97,7 +97,7 @@
   }
 
   /** Cancels of another process that were overwritten before they could be read. */
-  private static final class LostCancels implements Ports.Cancels {
+  private static final class LostCancels implements Ports.SharedCancels {
     final AtomicBoolean lost = new AtomicBoolean();
 
     @Override
--- a/src/test/java/crankspar/pg/PgDoor.java
+++ b/src/test/java/crankspar/pg/PgDoor.java
@@ -66,7 +66,7 @@
             pool.locate("s-" + i, servers[i].address());
             all.add(new Member("s-" + i, "burnaby", i == 0, 1, Health.RUNNING, 2, "m", 0));
           }
-          core.members(ListKind.FULL, all);
+          core.membersChanged(ListKind.FULL, all);
         });
   }
 
@@ -94,7 +94,7 @@
   }
 
   /** Cancels that reach another process of this pooler come from there. */
-  void share(Ports.Cancels cancels) throws InterruptedException {
+  void share(Ports.SharedCancels cancels) throws InterruptedException {
     loop.runAndWait(() -> front.cancels().share(cancels));
   }
 
