--- a/src/main/java/crankspar/lab/PgBackend.java
+++ b/src/main/java/crankspar/lab/PgBackend.java
@@ -75,9 +75,9 @@
       for (Frame f = decoder.next(); f != null && !closed; f = decoder.next()) {
         waiting.add(f);
       }
-      boolean begun = decoder.held() >= HEAD_BYTES && started;
+      boolean begun = decoder.bufferedBytes() >= HEAD_BYTES && started;
       int most = begun ? server.fault.bytes(connection, decoder.headType()) : 0;
-      if (most > 0 && decoder.held() >= most) {
+      if (most > 0 && decoder.bufferedBytes() >= most) {
         server.fault.cut();
         cut("cut in a message");
         return;
@@ -171,7 +171,8 @@
   private void over(String why) {
     if (!closed) {
       closed = true;
-      server.recording.add(new Recording.Ended(server.name, connection, why, decoder.held()));
+      server.recording.add(
+          new Recording.Ended(server.name, connection, why, decoder.bufferedBytes()));
       server.backends.remove(connection);
       server.unlisten(this, null);
       transaction.end(false);
--- a/src/main/java/crankspar/pooling/BatchCollector.java
+++ b/src/main/java/crankspar/pooling/BatchCollector.java
@@ -95,8 +95,9 @@
     }
     String user = client.user();
     try {
-      Route.Way way =
-          desk.route().way(database.as(user), batch.text(), batch.statements(), client.session());
+      Route.RoutingDecision way =
+          desk.route()
+              .decide(database.as(user), batch.text(), batch.statements(), client.session());
       client.ask(new Opening(client, opening, whole, way, batch.onlyBegins(), database.mode(user)));
     } catch (Route.Refused e) {
       client.reject(e.code, e.getMessage(), whole);
--- a/src/main/java/crankspar/pooling/BatchStatements.java
+++ b/src/main/java/crankspar/pooling/BatchStatements.java
@@ -27,16 +27,16 @@
   static BatchStatements of(List<Frame> frames, SessionState session) throws Frame.Malformed {
     var statements = new ArrayList<Statement>(2);
     String text = "";
-    var fresh = new HashMap<String, Prepared>(2);
+    var parsedInBatch = new HashMap<String, Prepared>(2);
     for (Frame frame : frames) {
-      Part part = part(frame, fresh, session);
+      Part part = part(frame, parsedInBatch, session);
       text = text.isEmpty() ? part.sql() : text;
       statements.addAll(part.statements());
     }
     return new BatchStatements(text, statements);
   }
 
-  private static Part part(Frame frame, Map<String, Prepared> fresh, SessionState session)
+  private static Part part(Frame frame, Map<String, Prepared> parsedInBatch, SessionState session)
       throws Frame.Malformed {
     Frame.Reader r = frame.read();
     switch (frame.type()) {
@@ -47,14 +47,15 @@
       case 'P' -> {
         String name = r.text();
         Prepared prepared =
-            Prepared.of(r.text(), r.rest()).under(session.sessionOptions().statementOptions());
-        fresh.put(name, prepared);
+            Prepared.of(r.text(), r.rest())
+                .withOptions(session.sessionOptions().statementOptions());
+        parsedInBatch.put(name, prepared);
         return Part.of(prepared);
       }
       case 'B' -> {
         r.text(); // the portal
         String name = r.text();
-        return fresh.containsKey(name) ? Part.NONE : Part.of(session.prepared(name));
+        return parsedInBatch.containsKey(name) ? Part.NONE : Part.of(session.prepared(name));
       }
       case 'F' -> {
         return new Part("", List.of(FUNCTION_CALL));
--- a/src/main/java/crankspar/pooling/Client.java
+++ b/src/main/java/crankspar/pooling/Client.java
@@ -165,7 +165,7 @@
     }
 
     private void account() {
-        int now = held.bytes() + collector.bytes() + decoder.held();
+        int now = held.bytes() + collector.bytes() + decoder.bufferedBytes();
         int more = now - counted;
         counted = now;
         if (more != 0 && !desk.hold(more)) {
@@ -361,8 +361,8 @@
 
     /** Between two transactions, with nothing half read. */
     boolean idle() {
-        return state == ClientState.IDLE && held.isEmpty() && collector.isEmpty() && decoder.empty() || lease != null && lease.between()
-                && held.isEmpty() && decoder.empty();
+        return state == ClientState.IDLE && held.isEmpty() && collector.isEmpty() && decoder.atMessageBoundary() || lease != null && lease.between()
+                && held.isEmpty() && decoder.atMessageBoundary();
     }
 
     void closeIfIdle() {
--- a/src/main/java/crankspar/pooling/Console.java
+++ b/src/main/java/crankspar/pooling/Console.java
@@ -137,7 +137,7 @@
               ms(now - c.since()),
               text(c.transactions()),
               has ? s.member() : "",
-              c.session() == null ? "" : text(c.session().statements()),
+              c.session() == null ? "" : text(c.session().statementCount()),
               c.session() == null
                   ? ""
                   : String.join(
@@ -208,7 +208,7 @@
     for (Client c : front.clients()) {
       if (c.session() != null) {
         c.session()
-            .all()
+            .preparedByName()
             .values()
             .forEach(
                 p -> {
--- a/src/main/java/crankspar/pooling/Exchange.java
+++ b/src/main/java/crankspar/pooling/Exchange.java
@@ -139,7 +139,7 @@
   /** Takes back what the client has prepared and closed since the batch began, to begin it anew. */
   void rewind() {
     replies.rewind();
-    projected.forget();
+    projected.reset();
     batch.rewind();
     serverReplies.forgetErrors();
   }
@@ -214,7 +214,8 @@
   private void parse(Frame f) throws Frame.Malformed {
     Frame.Reader r = f.read();
     String name = r.text();
-    Prepared statement = Prepared.of(r.text(), r.rest()).under(projected.now().statementOptions());
+    Prepared statement =
+        Prepared.of(r.text(), r.rest()).withOptions(projected.current().statementOptions());
     if (refuse(statement.statements())) {
       return;
     }
@@ -222,8 +223,8 @@
     if (name.isEmpty()) {
       names.parseUnnamed(statement);
     } else if (taken != null) {
-      names.parseTaken(name, taken, statement);
-    } else if (!tooMany(statement.bytes())) {
+      names.parseDuplicate(name, taken, statement);
+    } else if (!tooMany(statement.memoryBytes())) {
       names.parseNamed(name, statement);
     }
   }
@@ -232,7 +233,7 @@
   private boolean refuse(List<Statement> statements) {
     for (Statement s : statements) {
       Statement prepared = s.kind() == Kind.PREPARE ? SqlPrepared.effect(s) : null;
-      Pins.Kind kind = Pins.of(prepared == null ? s : prepared);
+      Pins.Kind kind = Pins.kindOf(prepared == null ? s : prepared);
       if (kind != null && refused.contains(kind)) {
         refuse(
             "0A000", kind + " is refused here: it would hold a connection beyond its transaction");
@@ -244,8 +245,8 @@
 
   private boolean tooMany(int bytes) {
     boolean over =
-        client.statements() >= limits.statements()
-            || client.bytes() + bytes > limits.statementBytes();
+        client.statementCount() >= limits.statements()
+            || client.preparedBytes() + bytes > limits.statementBytes();
     if (over) {
       refuse(
           "53400",
@@ -266,7 +267,7 @@
   private void refuse(String code, String why) {
     Frame error = Frame.error("ERROR", code, why, null);
     if (batch.serverBatchExecuted()) {
-      names.failAtServer(error);
+      names.failOnServer(error);
     } else {
       send(null, PendingReply.local(error));
     }
@@ -278,7 +279,7 @@
     String portal = r.text();
     String name = r.text();
     Prepared statement = client.prepared(name);
-    String onServer = names.onServer(name);
+    String onServer = names.serverName(name);
     portals.put(portal, new Portal(statement == null ? List.of(UNKNOWN) : statement.statements()));
     Frame sent =
         onServer.equals(name)
@@ -295,7 +296,7 @@
     }
     String name = r.text();
     Prepared statement = client.prepared(name);
-    String onServer = names.onServer(name);
+    String onServer = names.serverName(name);
     Frame sent = onServer.equals(name) ? f : Frame.body().code('S').text(onServer).as('D');
     send(sent, PendingReply.to(Step.DESCRIBE_STATEMENT, statement));
   }
@@ -331,14 +332,14 @@
     executions++;
     List<Statement> run = client.effects(portal.execute());
     projected.sent(run, batch.status());
-    send(f, PendingReply.to(Step.EXECUTE, run).undoneAtClient(() -> portal.passedOver(run)));
+    send(f, PendingReply.to(Step.EXECUTE, run).undoneAtClient(() -> portal.executeSkipped(run)));
   }
 
   private void query(Frame f) throws Frame.Malformed {
     List<Statement> statements = Sql.split(f.read().text());
     boolean not = refuse(statements);
     for (Statement s : statements) {
-      not = not || s.kind() == Kind.PREPARE && tooMany(sqlPrepared(s).bytes());
+      not = not || s.kind() == Kind.PREPARE && tooMany(sqlPrepared(s).memoryBytes());
     }
     if (not) {
       batch.refusedQuery();
@@ -367,7 +368,7 @@
   }
 
   private SqlPrepared sqlPrepared(Statement prepare) {
-    return SqlPrepared.of(prepare, projected.now().statementOptions());
+    return SqlPrepared.of(prepare, projected.current().statementOptions());
   }
 
   // ---- From the server.
--- a/src/main/java/crankspar/pooling/Frame.java
+++ b/src/main/java/crankspar/pooling/Frame.java
@@ -25,7 +25,7 @@
 
   public static final char CANCEL = 3;
   public static final char ENCRYPTION = 4;
-  private static final int HEAD = 5;
+  private static final int HEADER_BYTES = 5;
 
   /**
    * A message in the form of its fields; they are read in order, and a message that ends too soon
@@ -47,7 +47,7 @@
       this.at = at;
     }
 
-    private int take(int n) throws Malformed {
+    private int advance(int n) throws Malformed {
       if (n < 0 || bytes.length - at < n) {
         throw new Malformed("a message ends too soon");
       }
@@ -56,27 +56,27 @@
     }
 
     public int int32() throws Malformed {
-      return ByteBuffer.wrap(bytes, take(4), 4).getInt();
+      return ByteBuffer.wrap(bytes, advance(4), 4).getInt();
     }
 
     public int int16() throws Malformed {
-      return ByteBuffer.wrap(bytes, take(2), 2).getShort() & 0xffff;
+      return ByteBuffer.wrap(bytes, advance(2), 2).getShort() & 0xffff;
     }
 
     public char code() throws Malformed {
-      return (char) (bytes[take(1)] & 0xff);
+      return (char) (bytes[advance(1)] & 0xff);
     }
 
     public String text() throws Malformed {
       int start = at;
-      while (bytes[take(1)] != 0) {
+      while (bytes[advance(1)] != 0) {
         // up to the zero
       }
       return new String(bytes, start, at - 1 - start, StandardCharsets.UTF_8);
     }
 
     public byte[] bytes(int n) throws Malformed {
-      int start = take(n);
+      int start = advance(n);
       return Arrays.copyOfRange(bytes, start, start + n);
     }
 
@@ -86,7 +86,7 @@
       return Arrays.copyOfRange(bytes, start, at);
     }
 
-    public boolean over() {
+    public boolean atEnd() {
       return at == bytes.length;
     }
   }
@@ -123,7 +123,7 @@
 
     public Frame as(char type) {
       byte[] body = out.toByteArray();
-      var wire = ByteBuffer.allocate(HEAD + body.length);
+      var wire = ByteBuffer.allocate(HEADER_BYTES + body.length);
       wire.put((byte) type).putInt(body.length + 4).put(body);
       return new Frame(type, wire.array(), true);
     }
@@ -134,7 +134,7 @@
   }
 
   public Reader read() {
-    return new Reader(wire, type == PART ? 0 : type < ' ' ? 4 : HEAD);
+    return new Reader(wire, type == PART ? 0 : type < ' ' ? 4 : HEADER_BYTES);
   }
 
   /** Whether it is a client's message of the extended protocol that a Sync has to follow. */
@@ -241,7 +241,7 @@
   /** Asks a server to stop what the connection with this key runs. */
   public static byte[] cancel(int process, int secret) {
     byte[] whole =
-        body().int32(FrameDecoder.CANCEL_CODE).int32(process).int32(secret).as('x').wire();
+        body().int32(FrameDecoder.CANCEL_REQUEST_CODE).int32(process).int32(secret).as('x').wire();
     return Arrays.copyOfRange(whole, 1, whole.length);
   }
 
--- a/src/main/java/crankspar/pooling/Lease.java
+++ b/src/main/java/crankspar/pooling/Lease.java
@@ -104,7 +104,7 @@
 
   /** Whether it is left to its client beyond a transaction. */
   private boolean ofSession() {
-    return opening.mode == Setup.Mode.SESSION || !opening.client.session().pins().none();
+    return opening.mode == Setup.Mode.SESSION || !opening.client.session().pins().isEmpty();
   }
 
   private boolean active() {
@@ -140,18 +140,19 @@
   private void tellParameters() {
     SessionState client = opening.client.session();
     ServerState state = server.sessionState();
-    if (client.told() == state.reported()) {
+    if (client.reportedParameters() == state.reported()) {
       return;
     }
     state
         .reported()
         .forEach(
             (name, value) -> {
-              if (!ServerNotes.NAMES.contains(name) && !value.equals(client.told().get(name))) {
+              if (!ServerNotes.NAMES.contains(name)
+                  && !value.equals(client.reportedParameters().get(name))) {
                 hold(Frame.parameter(name, value));
               }
             });
-    client.told(state.reported());
+    client.reportedParameters(state.reported());
   }
 
   private void hold(Frame f) {
@@ -372,7 +373,7 @@
     opening.verdict = begun ? progress.verdict() : Progress.Verdict.ELSEWHERE;
     exchange.rewind();
     if (begun) {
-      opening.client.session().lost();
+      opening.client.session().connectionLost();
     }
   }
 
--- a/src/main/java/crankspar/pooling/Login.java
+++ b/src/main/java/crankspar/pooling/Login.java
@@ -118,7 +118,8 @@
   /** The first client of a key waits until a server has told what clients are welcomed with. */
   private void learn(Setup.Database database, String user, Map<String, String> parameters) {
     try {
-      Route.Way way = desk.route().way(database.as(user), "", List.of(), client.session());
+      Route.RoutingDecision way =
+          desk.route().decide(database.as(user), "", List.of(), client.session());
       pending = parameters;
       client.ask(new Opening(client, List.of(), true, way, false, Setup.Mode.TRANSACTION));
     } catch (Route.Refused e) {
@@ -153,7 +154,7 @@
         told = value.equals(e.getValue()) ? told : told.plus(e.getKey(), value);
       }
     }
-    client.session().told(told);
+    client.session().reportedParameters(told);
     frames.add(Frame.body().int32(client.process()).int32(client.secret()).as('K'));
     frames.add(Frame.ready('I'));
     client.welcomed(frames);
--- a/src/main/java/crankspar/pooling/Opening.java
+++ b/src/main/java/crankspar/pooling/Opening.java
@@ -14,7 +14,7 @@
   /** Whether the batch is whole: it ends with a Sync, a simple query or a function call. */
   final boolean whole;
 
-  final Route.Way way;
+  final Route.RoutingDecision way;
 
   /** Only a BEGIN: a server's role is looked at before its client hears that it has begun. */
   final boolean onlyBegin;
@@ -37,7 +37,7 @@
       Client client,
       List<Frame> frames,
       boolean whole,
-      Route.Way way,
+      Route.RoutingDecision way,
       boolean onlyBegin,
       Setup.Mode mode) {
     this.client = client;
--- a/src/main/java/crankspar/pooling/OptionsChange.java
+++ b/src/main/java/crankspar/pooling/OptionsChange.java
@@ -15,20 +15,20 @@
  */
 record OptionsChange(List<String> before, List<String> after) {
 
-  static OptionsChange around(StatementOptions under, SessionOptions present) {
-    PMap<String, String> parse = under.values();
-    PMap<String, String> all = present.statementOptions().values();
-    PMap<String, String> session = StatementOptions.of(present.session()).values();
-    var after = new ArrayList<String>(Carry.changes(parse, session));
-    for (Map.Entry<String, String> e : new TreeMap<>(present.local()).entrySet()) {
+  static OptionsChange around(StatementOptions required, SessionOptions current) {
+    PMap<String, String> requiredValues = required.values();
+    PMap<String, String> all = current.statementOptions().values();
+    PMap<String, String> session = StatementOptions.of(current.session()).values();
+    var after = new ArrayList<String>(Carry.changes(requiredValues, session));
+    for (Map.Entry<String, String> e : new TreeMap<>(current.local()).entrySet()) {
       String name = e.getKey();
-      boolean counts = all.containsKey(name);
-      boolean touched =
-          !e.getValue().equals(parse.get(name)) || !e.getValue().equals(session.get(name));
-      if (counts && touched) {
+      boolean affectsParsing = all.containsKey(name);
+      boolean changed =
+          !e.getValue().equals(requiredValues.get(name)) || !e.getValue().equals(session.get(name));
+      if (affectsParsing && changed) {
         after.add(Carry.setLocal(name, e.getValue()));
       }
     }
-    return new OptionsChange(Carry.changes(all, parse), after);
+    return new OptionsChange(Carry.changes(all, requiredValues), after);
   }
 }
--- a/src/main/java/crankspar/pooling/Pins.java
+++ b/src/main/java/crankspar/pooling/Pins.java
@@ -32,7 +32,7 @@
 
   static final Pins NONE = new Pins(HashTreePMap.empty());
 
-  boolean none() {
+  boolean isEmpty() {
     return held.isEmpty();
   }
 
@@ -48,7 +48,7 @@
   }
 
   /** What a statement would pin, or null. */
-  static Kind of(Statement s) {
+  static Kind kindOf(Statement s) {
     return switch (s.kind()) {
       case LISTEN -> Kind.LISTEN;
       case DECLARE_HOLD -> Kind.HOLD;
@@ -61,8 +61,8 @@
   }
 
   /** After a statement has been done. */
-  Pins done(Statement s) {
-    Kind kind = of(s);
+  Pins apply(Statement s) {
+    Kind kind = kindOf(s);
     if (kind != null) {
       String key = kind + " " + (s.name() == null ? "" : s.name());
       int times = kind == Kind.LOCK ? held.getOrDefault(key, 0) + 1 : 1;
@@ -75,14 +75,14 @@
       case CLOSE_ALL -> without(Kind.HOLD, null);
       case DROP_TABLE -> without(Kind.TEMPORARY, s.name());
       case DISCARD_TEMP -> without(Kind.TEMPORARY, null);
-      case UNLOCK_SESSION -> unlocked(Kind.LOCK + " " + s.name());
+      case UNLOCK_SESSION -> unlock(Kind.LOCK + " " + s.name());
       case UNLOCK_ALL -> without(Kind.LOCK, null);
-      case DISCARD_ALL -> keep(Kind.LOAD);
+      case DISCARD_ALL -> retainOnly(Kind.LOAD);
       default -> this;
     };
   }
 
-  private Pins unlocked(String key) {
+  private Pins unlock(String key) {
     Integer times = held.get(key);
     return times == null ? this : new Pins(times > 1 ? held.plus(key, times - 1) : held.minus(key));
   }
@@ -97,7 +97,7 @@
     return left == held ? this : new Pins(left);
   }
 
-  private Pins keep(Kind kind) {
+  private Pins retainOnly(Kind kind) {
     PMap<String, Integer> left = held;
     for (String key : held.keySet()) {
       left = kind(key) == kind ? left : left.minus(key);
@@ -108,21 +108,21 @@
   /**
    * After a rollback: session locks and loaded libraries are not given back by it, taken or let go.
    */
-  static Pins undone(Pins before, Pins after) {
+  static Pins afterRollback(Pins before, Pins after) {
     if (before == after) {
       return before;
     }
     PMap<String, Integer> left = HashTreePMap.empty();
     for (var e : before.held.entrySet()) {
-      left = lasting(e.getKey()) ? left : left.plus(e.getKey(), e.getValue());
+      left = survivesRollback(e.getKey()) ? left : left.plus(e.getKey(), e.getValue());
     }
     for (var e : after.held.entrySet()) {
-      left = lasting(e.getKey()) ? left.plus(e.getKey(), e.getValue()) : left;
+      left = survivesRollback(e.getKey()) ? left.plus(e.getKey(), e.getValue()) : left;
     }
     return new Pins(left);
   }
 
-  private static boolean lasting(String key) {
+  private static boolean survivesRollback(String key) {
     return kind(key) == Kind.LOCK || kind(key) == Kind.LOAD;
   }
 }
--- a/src/main/java/crankspar/pooling/PoolingFront.java
+++ b/src/main/java/crankspar/pooling/PoolingFront.java
@@ -150,7 +150,7 @@
     @Override public void ask(Client client, Opening opening) {
         client.ticket = ++nextTicket;
         tickets.put(client.ticket, client);
-        double deadline = client.askedAt() + opening.way.ttl();
+        double deadline = client.askedAt() + opening.way.timeoutMs();
         effects(places.get(client.databaseName()).ask(loop.now(), client.user(), client.ticket, deadline));
     }
 
@@ -173,9 +173,9 @@
 
     private void take(Client client) {
         Opening opening = client.opening();
-        Route.Way way = opening.way;
+        Route.RoutingDecision way = opening.way;
         client.placed();
-        var ask = new Ports.Ask<>(way.requestClass(), client.askedAt() + way.ttl(), "client-" + client.process(), way.mark(),
+        var ask = new Ports.Ask<>(way.requestClass(), client.askedAt() + way.timeoutMs(), "client-" + client.process(), way.minPosition(),
                 way.group(), opening);
         pooler.take(ask, client);
     }
--- a/src/main/java/crankspar/pooling/Portal.java
+++ b/src/main/java/crankspar/pooling/Portal.java
@@ -21,13 +21,13 @@
 
   /** It is to be executed: returns what that does to the session. */
   List<Statement> execute() {
-    List<Statement> run = executed ? List.of() : statements;
+    List<Statement> effects = executed ? List.of() : statements;
     executed = true;
-    return run;
+    return effects;
   }
 
   /** The server has passed over its first Execute; {@code run} is what that was to do. */
-  void passedOver(List<Statement> run) {
-    executed &= run.isEmpty();
+  void executeSkipped(List<Statement> effects) {
+    executed &= effects.isEmpty();
   }
 }
--- a/src/main/java/crankspar/pooling/Prepared.java
+++ b/src/main/java/crankspar/pooling/Prepared.java
@@ -18,7 +18,7 @@
  */
 final class Prepared {
   /** Before names that are made here; a client's own never reach a server through Parse. */
-  static final String PREFIX = "cp_";
+  static final String NAME_PREFIX = "cp_";
 
   private static final int NAME_BYTES = 16;
 
@@ -29,14 +29,14 @@
    * All that are in use anywhere; what no client and no connection holds is forgotten by the
    * collector.
    */
-  private static final Map<Prepared, WeakReference<Prepared>> KNOWN = new WeakHashMap<>();
+  private static final Map<Prepared, WeakReference<Prepared>> INTERNED = new WeakHashMap<>();
 
   private final String sql;
   private final byte[] types;
   private final StatementOptions options;
 
   /** The same text and types under no options, or this one: what is read of the text is there. */
-  private final Prepared plain;
+  private final Prepared withoutOptions;
 
   private final int hash;
   private String name;
@@ -46,7 +46,7 @@
     this.sql = sql;
     this.types = types;
     options = StatementOptions.NONE;
-    plain = this;
+    withoutOptions = this;
     hash = 31 * sql.hashCode() + Arrays.hashCode(types);
   }
 
@@ -54,7 +54,7 @@
     sql = plain.sql;
     types = plain.types;
     this.options = options;
-    this.plain = plain;
+    this.withoutOptions = plain;
     hash = 31 * plain.hash + options.hashCode();
   }
 
@@ -63,27 +63,28 @@
    * behind its text.
    */
   static Prepared of(String sql, byte[] types) {
-    return known(new Prepared(sql, types));
+    return intern(new Prepared(sql, types));
   }
 
   /** The same text, prepared under these options. */
-  Prepared under(StatementOptions options) {
+  Prepared withOptions(StatementOptions options) {
     boolean same = options.equals(this.options) || options() == StatementOptions.ANY;
-    return same ? this : known(new Prepared(plain, options));
+    return same ? this : intern(new Prepared(withoutOptions, options));
   }
 
   /** Those under which its text is read. */
   StatementOptions options() {
-    boolean meansTheSame = statements().stream().allMatch(Sql.Statement::control);
-    return meansTheSame ? StatementOptions.ANY : options;
+    boolean onlyTransactionControl =
+        statements().stream().allMatch(Sql.Statement::transactionControl);
+    return onlyTransactionControl ? StatementOptions.ANY : options;
   }
 
-  private static synchronized Prepared known(Prepared asked) {
-    WeakReference<Prepared> known = KNOWN.get(asked);
+  private static synchronized Prepared intern(Prepared candidate) {
+    WeakReference<Prepared> known = INTERNED.get(candidate);
     Prepared found = known == null ? null : known.get();
     if (found == null) {
-      found = asked;
-      KNOWN.put(found, new WeakReference<>(found));
+      found = candidate;
+      INTERNED.put(found, new WeakReference<>(found));
     }
     return found;
   }
@@ -93,8 +94,8 @@
   }
 
   /** What it counts against a client's bound. */
-  int bytes() {
-    return sql.length() + types.length + options.bytes() + OBJECT_BYTES;
+  int memoryBytes() {
+    return sql.length() + types.length + options.memoryBytes() + OBJECT_BYTES;
   }
 
   /** Its name on servers. */
@@ -107,7 +108,7 @@
         digest.update(types);
         digest.update(options.key().getBytes(StandardCharsets.UTF_8));
         byte[] all = digest.digest();
-        name = PREFIX + HexFormat.of().formatHex(all, 0, NAME_BYTES);
+        name = NAME_PREFIX + HexFormat.of().formatHex(all, 0, NAME_BYTES);
       } catch (NoSuchAlgorithmException e) {
         throw new IllegalStateException(e); // every runtime has it
       }
@@ -115,13 +116,13 @@
     return name;
   }
 
-  Frame parse(String as) {
-    return Frame.body().text(as).text(sql).bytes(types).as('P');
+  Frame parseMessage(String serverName) {
+    return Frame.body().text(serverName).text(sql).bytes(types).as('P');
   }
 
   List<Sql.Statement> statements() {
-    if (plain != this) {
-      return plain.statements();
+    if (withoutOptions != this) {
+      return withoutOptions.statements();
     }
     if (statements == null) {
       statements = Sql.split(sql);
--- a/src/main/java/crankspar/pooling/Progress.java
+++ b/src/main/java/crankspar/pooling/Progress.java
@@ -50,10 +50,10 @@
    */
   void sending(List<Statement> statements, boolean whole) {
     for (Statement s : statements) {
-      harmless &= s.harmless();
+      harmless &= s.idempotent();
       waiting |= s.kind() != Kind.BEGIN;
       executed |= !whole && s.kind() != Kind.BEGIN;
-      effectBehindEnd |= endSent && !s.harmless();
+      effectBehindEnd |= endSent && !s.idempotent();
       boolean commits = s.kind() == Kind.COMMIT || s.kind() == Kind.PREPARE_TRANSACTION;
       endSent |= commits || s.kind() == Kind.ROLLBACK;
       if (s.kind() == Kind.BEGIN) {
@@ -64,7 +64,7 @@
       } else if (s.kind() == Kind.ROLLBACK) {
         block = false;
         effect = false;
-      } else if (!block && !s.harmless()) {
+      } else if (!block && !s.idempotent()) {
         effect = true;
       }
     }
--- a/src/main/java/crankspar/pooling/ProjectedOptions.java
+++ b/src/main/java/crankspar/pooling/ProjectedOptions.java
@@ -10,7 +10,7 @@
  * never meets other options than these.
  */
 final class ProjectedOptions {
-  private final SessionOptions present;
+  private final SessionOptions confirmed;
   private SessionOptions projected;
 
   /** Statements that change options and have not been answered. */
@@ -19,12 +19,12 @@
   /** Whether a COMMIT would be a rollback. */
   private boolean blockFailed;
 
-  ProjectedOptions(SessionOptions present) {
-    this.present = present;
+  ProjectedOptions(SessionOptions confirmed) {
+    this.confirmed = confirmed;
   }
 
-  SessionOptions now() {
-    return pending == 0 ? present : projected;
+  SessionOptions current() {
+    return pending == 0 ? confirmed : projected;
   }
 
   /** These are to be executed; {@code status} is what the server said last of the transaction. */
@@ -32,11 +32,11 @@
     for (Statement s : statements) {
       if (SessionOptions.changedBy(s)) {
         if (pending++ == 0) {
-          projected = present.copy();
+          projected = confirmed.copy();
           blockFailed = status == 'E';
         }
-        projected.done(s, s.kind() == Kind.COMMIT && !blockFailed ? "COMMIT" : "ROLLBACK");
-        blockFailed &= !s.control();
+        projected.apply(s, s.kind() == Kind.COMMIT && !blockFailed ? "COMMIT" : "ROLLBACK");
+        blockFailed &= !s.transactionControl();
       }
     }
   }
@@ -51,7 +51,7 @@
   }
 
   /** What was sent and not answered will not be done, or has been. */
-  void forget() {
+  void reset() {
     pending = 0;
     projected = null;
   }
--- a/src/main/java/crankspar/pooling/Route.java
+++ b/src/main/java/crankspar/pooling/Route.java
@@ -18,7 +18,8 @@
  */
 final class Route {
   /** The way of one transaction. {@code ttl} is ms, {@code mark} Unix ms or NaN. */
-  record Way(int requestClass, int group, double ttl, double mark, boolean write) {}
+  record RoutingDecision(
+      int requestClass, int group, double timeoutMs, double minPosition, boolean write) {}
 
   /** Why a transaction is not taken, with its SQLSTATE. */
   static final class Refused extends Exception {
@@ -30,26 +31,27 @@
     }
   }
 
-  private static final Pattern COMMENT = Pattern.compile("\\s*/\\*(.*?)\\*/.*", Pattern.DOTALL);
-  private static final Pattern PAIR =
+  private static final Pattern LEADING_COMMENT =
+      Pattern.compile("\\s*/\\*(.*?)\\*/.*", Pattern.DOTALL);
+  private static final Pattern DIRECTIVE =
       Pattern.compile("\\s*([a-z_]{1,16})=([!-~&&[^,*/'\"]]{1,64})\\s*");
   private static final Pattern NUMBER = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,6})?");
 
   private final Router.Settings settings;
-  private final Map<String, Integer> classes = new HashMap<>();
+  private final Map<String, Integer> classIndexes = new HashMap<>();
 
   Route(Router.Settings settings) {
     this.settings = settings;
-    settings.classes().forEach(c -> classes.put(c.name(), classes.size()));
+    settings.classes().forEach(c -> classIndexes.put(c.name(), classIndexes.size()));
   }
 
   /** The number of a class, or null. */
-  Integer classNumber(String name) {
-    return classes.get(name);
+  Integer classIndex(String name) {
+    return classIndexes.get(name);
   }
 
-  Router.RequestClass kind(Way way) {
-    return settings.classes().get(way.requestClass());
+  Router.RequestClass requestClass(RoutingDecision decision) {
+    return settings.classes().get(decision.requestClass());
   }
 
   /**
@@ -58,95 +60,114 @@
    * @param text the first statement's text with its comment
    * @param statements of the batch, in order
    */
-  Way way(Setup.Database database, String text, List<Statement> statements, SessionState state)
+  RoutingDecision decide(
+      Setup.Database database, String text, List<Statement> statements, SessionState state)
       throws Refused {
-    Map<String, String> names = names(text);
-    String named = names.get("c");
-    String mapped =
-        database.mode() == Setup.Mode.SESSION ? null : mapped(database, statements, state);
-    String name = named != null ? named : mapped != null ? mapped : database.requestClass();
-    Integer number = classes.get(name);
-    if (number == null) {
+    Map<String, String> directives = directives(text);
+    String requestedClass = directives.get("c");
+    String mappedClass =
+        database.mode() == Setup.Mode.SESSION ? null : mappedReadClass(database, statements, state);
+    String name =
+        requestedClass != null
+            ? requestedClass
+            : mappedClass != null ? mappedClass : database.requestClass();
+    Integer classIndex = classIndexes.get(name);
+    if (classIndex == null) {
       throw new Refused("08P01", "unknown class " + name);
     }
-    Router.RequestClass kind = settings.classes().get(number);
-    boolean write = kind.freshness() == Freshness.WRITE;
+    Router.RequestClass requestClass = settings.classes().get(classIndex);
+    boolean write = requestClass.freshness() == Freshness.WRITE;
     // Guards against a write that is repeated because its class says that it may be.
-    if (!write && kind.freshness() != Freshness.FRESH && !readsOnly(statements, state)) {
+    if (!write
+        && requestClass.freshness() != Freshness.FRESH
+        && !provablyReadOnly(statements, state)) {
       throw new Refused("25006", "class " + name + " is for reads, and this is none by its words");
     }
-    if (!write && kind.freshness() == Freshness.FRESH && !harmless(statements)) {
+    if (!write && requestClass.freshness() == Freshness.FRESH && !allIdempotent(statements)) {
       throw new Refused("25006", "class " + name + " is for reads, and this is none by its words");
     }
     if (database.mode() == Setup.Mode.SESSION
-        && (kind.freshness() == Freshness.BOUNDED || kind.freshness() == Freshness.SESSION)) {
+        && (requestClass.freshness() == Freshness.BOUNDED
+            || requestClass.freshness() == Freshness.SESSION)) {
       throw new Refused(
           "0A000",
           "class "
               + name
               + " has a bound on its age, which a session on one connection cannot keep");
     }
-    double ttl =
-        names.containsKey("d") ? Math.min(number(names, "d"), kind.giveUp()) : kind.giveUp();
-    double carried = names.containsKey("after") ? number(names, "after") : Double.NaN;
-    double mark =
-        Double.isNaN(carried)
-            ? state.mark()
-            : Double.isNaN(state.mark()) ? carried : Math.max(carried, state.mark());
-    int group = names.containsKey("cluster") ? (int) number(names, "cluster") : database.group();
-    boolean sees = kind.freshness() == Freshness.SESSION || kind.freshness() == Freshness.BOUNDED;
-    return new Way(number, group, ttl, sees ? mark : Double.NaN, write);
+    double timeoutMs =
+        directives.containsKey("d")
+            ? Math.min(numericDirective(directives, "d"), requestClass.giveUp())
+            : requestClass.giveUp();
+    double requestedPosition =
+        directives.containsKey("after") ? numericDirective(directives, "after") : Double.NaN;
+    double minPosition =
+        Double.isNaN(requestedPosition)
+            ? state.lastCommitPosition()
+            : Double.isNaN(state.lastCommitPosition())
+                ? requestedPosition
+                : Math.max(requestedPosition, state.lastCommitPosition());
+    int group =
+        directives.containsKey("cluster")
+            ? (int) numericDirective(directives, "cluster")
+            : database.group();
+    boolean usesPosition =
+        requestClass.freshness() == Freshness.SESSION
+            || requestClass.freshness() == Freshness.BOUNDED;
+    return new RoutingDecision(
+        classIndex, group, timeoutMs, usesPosition ? minPosition : Double.NaN, write);
   }
 
   /** The read class that the operator has mapped such a batch to, or null. */
-  private static String mapped(
+  private static String mappedReadClass(
       Setup.Database database, List<Statement> statements, SessionState state) {
     if (statements.isEmpty()) {
       return null;
     }
     Statement first = statements.get(0);
     if (first.kind() == Kind.BEGIN) {
-      boolean said =
-          first.onlyReads()
-              || state.readsByDefault()
+      boolean declaredReadOnly =
+          first.readOnly()
+              || state.readOnlyByDefault()
                   && !first.text().toLowerCase(java.util.Locale.ROOT).contains("write");
-      return said && harmless(statements) ? database.readOnlyClass() : null;
+      return declaredReadOnly && allIdempotent(statements) ? database.readOnlyClass() : null;
     }
     return statements.size() == 1 && first.kind() == Kind.READ ? database.selectClass() : null;
   }
 
-  private static boolean harmless(List<Statement> statements) {
-    return statements.stream().allMatch(Statement::harmless);
+  private static boolean allIdempotent(List<Statement> statements) {
+    return statements.stream().allMatch(Statement::idempotent);
   }
 
   /**
    * A block must say that it only reads, as the server then sees to it; else each statement must be
    * a read.
    */
-  private static boolean readsOnly(List<Statement> statements, SessionState state) {
+  private static boolean provablyReadOnly(List<Statement> statements, SessionState state) {
     boolean block = !statements.isEmpty() && statements.get(0).kind() == Kind.BEGIN;
-    return harmless(statements)
-        && (!block || statements.get(0).onlyReads() || state.readsByDefault());
+    return allIdempotent(statements)
+        && (!block || statements.get(0).readOnly() || state.readOnlyByDefault());
   }
 
   /** Names and values of a comment that leads; a comment of another form says nothing to us. */
-  static Map<String, String> names(String text) {
-    Matcher m = COMMENT.matcher(text);
+  static Map<String, String> directives(String text) {
+    Matcher m = LEADING_COMMENT.matcher(text);
     if (!m.matches()) {
       return Map.of();
     }
-    var names = new HashMap<String, String>();
+    var directives = new HashMap<String, String>();
     for (String part : m.group(1).split(",", -1)) {
-      Matcher pair = PAIR.matcher(part);
-      if (!pair.matches() || names.put(pair.group(1), pair.group(2)) != null) {
+      Matcher pair = DIRECTIVE.matcher(part);
+      if (!pair.matches() || directives.put(pair.group(1), pair.group(2)) != null) {
         return Map.of();
       }
     }
-    return names;
+    return directives;
   }
 
-  private static double number(Map<String, String> names, String name) throws Refused {
-    String value = names.get(name);
+  private static double numericDirective(Map<String, String> directives, String name)
+      throws Refused {
+    String value = directives.get(name);
     if (!NUMBER.matcher(value).matches()) {
       throw new Refused("08P01", name + " is no number: " + value);
     }
--- a/src/main/java/crankspar/pooling/ServerReplies.java
+++ b/src/main/java/crankspar/pooling/ServerReplies.java
@@ -113,8 +113,8 @@
       return; // they change with every answer: kept, each lease would compare all anew
     }
     server.report(name, value);
-    if (!answersInternal() && !value.equals(client.told().get(name))) {
-      client.told(client.told().plus(name, value));
+    if (!answersInternal() && !value.equals(client.reportedParameters().get(name))) {
+      client.reportedParameters(client.reportedParameters().plus(name, value));
       toClient.add(f);
     }
   }
@@ -187,7 +187,7 @@
 
   private void both(Statement s, String tag) {
     Statement effect = client.effect(s);
-    client.done(effect, tag);
+    client.apply(effect, tag);
     server.done(effect, tag, client.sessionOptions().statementOptions());
   }
 
@@ -196,7 +196,7 @@
     String code = f.fields().getOrDefault('C', "");
     error = error == null ? code : error;
     batch.failed();
-    client.failed();
+    client.statementFailed();
     server.failed();
     if (reply == null || reply.step().endsBatch()) {
       return;
@@ -207,7 +207,7 @@
       server.drop(reply.prepared()); // it is prepared anew when next used
     }
     replies.passOver();
-    projected.forget();
+    projected.reset();
     if (replies.isEmpty()) {
       batch.failedBeforeSync();
     }
@@ -223,7 +223,7 @@
       }
       replies.ready();
     }
-    projected.forget();
+    projected.reset();
     char status = f.read().code();
     batch.ready(status);
     client.ready(status);
--- a/src/main/java/crankspar/pooling/ServerState.java
+++ b/src/main/java/crankspar/pooling/ServerState.java
@@ -14,8 +14,8 @@
 final class ServerState {
   private static final int UNFIT_MOST = 64;
 
-  private final Transactional<PMap<String, String>> options =
-      new Transactional<>(HashTreePMap.empty());
+  private final TransactionalValue<PMap<String, String>> options =
+      new TransactionalValue<>(HashTreePMap.empty());
 
   /** Statements by name, the least recently used first. */
   private final LinkedHashMap<String, Prepared> statements = new LinkedHashMap<>(16, 0.75f, true);
@@ -31,7 +31,7 @@
   private PMap<String, String> reported = HashTreePMap.empty();
 
   PMap<String, String> options() {
-    return options.now();
+    return options.current();
   }
 
   PMap<String, SqlPrepared> sqlPrepared() {
@@ -104,11 +104,11 @@
    * began with, which is nothing set.
    */
   void done(Statement s, String tag, StatementOptions under) {
-    PMap<String, String> now = options.now();
+    PMap<String, String> now = options.current();
     switch (s.kind()) {
-      case SET -> options.change(now.plus(s.name(), s.value()));
-      case RESET -> options.change(now.minus(s.name()));
-      case RESET_ALL -> options.change(HashTreePMap.empty());
+      case SET -> options.set(now.plus(s.name(), s.value()));
+      case RESET -> options.set(now.minus(s.name()));
+      case RESET_ALL -> options.set(HashTreePMap.empty());
       case DISCARD_ALL -> {
         options.replace(HashTreePMap.empty());
         forgetStatements();
@@ -141,7 +141,7 @@
   }
 
   void failed() {
-    options.fail();
+    options.statementFailed();
   }
 
   void ready(char status) {
--- a/src/main/java/crankspar/pooling/SessionOptions.java
+++ b/src/main/java/crankspar/pooling/SessionOptions.java
@@ -17,89 +17,91 @@
    * @param local the same, up to the transaction's end, before those of the session
    * @param unknown tells settings of the session's that nobody knows from any others, or null
    */
-  private record InForce(
-      PMap<String, String> session, PMap<String, String> local, Pins pins, String unknown) {
+  private record Effective(
+      PMap<String, String> session, PMap<String, String> local, Pins pins, String unknownToken) {
     /** None but what a session begins with. */
-    static InForce start(PMap<String, String> base, Pins pins) {
-      return new InForce(base, HashTreePMap.empty(), pins, null);
+    static Effective start(PMap<String, String> base, Pins pins) {
+      return new Effective(base, HashTreePMap.empty(), pins, null);
     }
 
-    InForce withPins(Pins changed) {
-      return new InForce(session, local, changed, unknown);
+    Effective withPins(Pins changed) {
+      return new Effective(session, local, changed, unknownToken);
     }
 
-    InForce withLocal(String name, String value) {
-      return new InForce(session, local.plus(name, value), pins, unknown);
+    Effective withLocal(String name, String value) {
+      return new Effective(session, local.plus(name, value), pins, unknownToken);
     }
 
-    InForce withoutLocal() {
-      return local.isEmpty() ? this : new InForce(session, HashTreePMap.empty(), pins, unknown);
+    Effective withoutLocal() {
+      return local.isEmpty()
+          ? this
+          : new Effective(session, HashTreePMap.empty(), pins, unknownToken);
     }
 
     /** An option of the session's; a local value of it is over. */
-    InForce withSession(PMap<String, String> changed, String name) {
-      return new InForce(changed, local.minus(name), pins, unknown);
+    Effective withSession(PMap<String, String> changed, String name) {
+      return new Effective(changed, local.minus(name), pins, unknownToken);
     }
 
-    InForce withUnknown(String token) {
-      return new InForce(session, local, pins, token);
+    Effective withUnknownToken(String token) {
+      return new Effective(session, local, pins, token);
     }
 
     PMap<String, String> all() {
       PMap<String, String> all = session.plusAll(local);
-      return unknown == null ? all : all.plus(StatementOptions.UNKNOWN, unknown);
+      return unknownToken == null ? all : all.plus(StatementOptions.UNKNOWN, unknownToken);
     }
   }
 
-  private static final AtomicLong UNKNOWN_SETTINGS = new AtomicLong();
+  private static final AtomicLong UNKNOWN_TOKENS = new AtomicLong();
 
   /** What the client asked for at its start, to which RESET returns. */
   private final PMap<String, String> base;
 
-  private final Transactional<InForce> inForce;
+  private final TransactionalValue<Effective> effective;
   private boolean inBlock;
 
   /** The last answer of {@link #statementOptions} and what it was worked out from. */
-  private InForce workedOutFrom;
+  private Effective cachedFrom;
 
-  private StatementOptions workedOut;
+  private StatementOptions cached;
 
   SessionOptions(PMap<String, String> base) {
     this.base = base;
-    inForce =
-        new Transactional<>(
-            InForce.start(base, Pins.NONE),
-            (before, after) -> before.withPins(Pins.undone(before.pins(), after.pins())));
+    effective =
+        new TransactionalValue<>(
+            Effective.start(base, Pins.NONE),
+            (before, after) -> before.withPins(Pins.afterRollback(before.pins(), after.pins())));
   }
 
   private SessionOptions(SessionOptions other) {
     base = other.base;
-    inForce = other.inForce.copy();
+    effective = other.effective.copy();
     inBlock = other.inBlock;
   }
 
   /** The session's, by name as SQL text; what is local to a transaction is not among them. */
   PMap<String, String> session() {
-    return inForce.now().session();
+    return effective.current().session();
   }
 
   /** What is local to the present transaction, by name as SQL text. */
   PMap<String, String> local() {
-    return inForce.now().local();
+    return effective.current().local();
   }
 
   Pins pins() {
-    return inForce.now().pins();
+    return effective.current().pins();
   }
 
   /** Those under which a statement that is prepared now is read. */
   StatementOptions statementOptions() {
-    InForce now = inForce.now();
-    if (now != workedOutFrom) {
-      workedOutFrom = now;
-      workedOut = StatementOptions.of(now.all());
+    Effective now = effective.current();
+    if (now != cachedFrom) {
+      cachedFrom = now;
+      cached = StatementOptions.of(now.all());
     }
-    return workedOut;
+    return cached;
   }
 
   /** Others that go on from here by themselves. */
@@ -129,33 +131,33 @@
   }
 
   /** A statement has been done; the tag tells a COMMIT that was none. */
-  void done(Statement s, String tag) {
-    InForce now = inForce.now();
+  void apply(Statement s, String tag) {
+    Effective now = effective.current();
     switch (s.kind()) {
-      case SET ->
-          inForce.change(now.withSession(now.session().plus(s.name(), s.value()), s.name()));
+      case SET -> effective.set(now.withSession(now.session().plus(s.name(), s.value()), s.name()));
       case SET_LOCAL -> {
         if (s.name() != null) {
-          inForce.change(setLocal(now, s));
+          effective.set(setLocal(now, s));
         }
       }
-      case SET_LOCAL_UNKNOWN -> inForce.change(unknownUpToTheEnd(now));
-      case SET_UNKNOWN -> inForce.change(now.withUnknown(token()).withPins(now.pins().done(s)));
-      case RESET -> inForce.change(reset(now, s.name()));
+      case SET_LOCAL_UNKNOWN -> effective.set(unknownUntilTransactionEnd(now));
+      case SET_UNKNOWN ->
+          effective.set(now.withUnknownToken(nextUnknownToken()).withPins(now.pins().apply(s)));
+      case RESET -> effective.set(reset(now, s.name()));
       case RESET_ALL -> {
-        InForce reset = InForce.start(base, now.pins()).withUnknown(now.unknown());
-        inForce.change(base.isEmpty() ? reset : unknownUpToTheEnd(reset));
+        Effective reset = Effective.start(base, now.pins()).withUnknownToken(now.unknownToken());
+        effective.set(base.isEmpty() ? reset : unknownUntilTransactionEnd(reset));
       }
-      case DISCARD_ALL -> inForce.replace(InForce.start(base, now.pins().done(s)));
+      case DISCARD_ALL -> effective.replace(Effective.start(base, now.pins().apply(s)));
       case BEGIN -> inBlock = true;
       case COMMIT, ROLLBACK -> end(tag.equals("COMMIT"));
-      case SAVEPOINT -> inForce.savepoint(s.name());
-      case RELEASE -> inForce.release(s.name());
-      case ROLLBACK_TO -> inForce.rollbackTo(s.name());
+      case SAVEPOINT -> effective.savepoint(s.name());
+      case RELEASE -> effective.release(s.name());
+      case ROLLBACK_TO -> effective.rollbackTo(s.name());
       default -> {
-        Pins pins = now.pins().done(s);
+        Pins pins = now.pins().apply(s);
         if (pins != now.pins()) {
-          inForce.change(now.withPins(pins));
+          effective.set(now.withPins(pins));
         }
       }
     }
@@ -164,65 +166,67 @@
   /**
    * What is read from now on up to the transaction's end is read under settings unlike any other.
    */
-  private static InForce unknownUpToTheEnd(InForce now) {
-    return now.withLocal(StatementOptions.UNKNOWN, token());
+  private static Effective unknownUntilTransactionEnd(Effective now) {
+    return now.withLocal(StatementOptions.UNKNOWN, nextUnknownToken());
   }
 
-  private static String token() {
-    return Long.toString(UNKNOWN_SETTINGS.incrementAndGet());
+  private static String nextUnknownToken() {
+    return Long.toString(UNKNOWN_TOKENS.incrementAndGet());
   }
 
   /**
    * Up to the transaction's end the server has its own default, not what this client began with:
    * what that default is nobody here knows.
    */
-  private InForce reset(InForce now, String name) {
+  private Effective reset(Effective now, String name) {
     return base.containsKey(name)
-        ? unknownUpToTheEnd(now.withSession(now.session().plus(name, base.get(name)), name))
+        ? unknownUntilTransactionEnd(
+            now.withSession(now.session().plus(name, base.get(name)), name))
         : now.withSession(now.session().minus(name), name);
   }
 
   /** Outside a block servers may warn and take it or leave it: what holds then is not known. */
-  private InForce setLocal(InForce now, Statement s) {
-    InForce set = now.withLocal(s.name(), s.value());
-    return inBlock ? set : unknownUpToTheEnd(set);
+  private Effective setLocal(Effective now, Statement s) {
+    Effective set = now.withLocal(s.name(), s.value());
+    return inBlock ? set : unknownUntilTransactionEnd(set);
   }
 
   private void end(boolean commit) {
     inBlock = false;
     if (commit) {
-      inForce.commit();
+      effective.commit();
     } else {
-      inForce.rollback();
+      effective.rollback();
     }
     dropLocal();
   }
 
   private void dropLocal() {
-    InForce now = inForce.now();
+    Effective now = effective.current();
     if (!now.local().isEmpty()) {
-      inForce.replace(now.withoutLocal());
+      effective.replace(now.withoutLocal());
     }
   }
 
   /** A statement failed: outside a block its implicit transaction is undone at the next ready. */
-  void failed() {
-    inForce.fail();
+  void statementFailed() {
+    effective.statementFailed();
   }
 
   /** The server is ready in this state. */
   void ready(char status) {
     inBlock = status != 'I';
-    inForce.ready(status);
+    effective.ready(status);
     if (status == 'I') {
       dropLocal();
     }
   }
 
   /** The connection is lost, and the transaction with it; nothing pins any more. */
-  void lost() {
+  void connectionLost() {
     inBlock = false;
-    inForce.rollback();
-    inForce.replace(inForce.now().withoutLocal().withUnknown(null).withPins(Pins.NONE));
+    effective.rollback();
+    effective.replace(
+        effective.current().withoutLocal().withUnknownToken(null).withPins(Pins.NONE));
   }
 }
--- a/src/main/java/crankspar/pooling/SessionState.java
+++ b/src/main/java/crankspar/pooling/SessionState.java
@@ -18,13 +18,13 @@
   private final SessionOptions options;
   private Map<String, Prepared> prepared = Map.of();
   private PMap<String, SqlPrepared> sqlPrepared = HashTreePMap.empty();
-  private int bytes;
+  private int preparedBytes;
   private Prepared unnamed;
 
   /** The parameters that the client was told of. */
-  private PMap<String, String> told = HashTreePMap.empty();
+  private PMap<String, String> reportedParameters = HashTreePMap.empty();
 
-  private double mark = Double.NaN;
+  private double lastCommitPosition = Double.NaN;
 
   SessionState(PMap<String, String> base) {
     options = new SessionOptions(base);
@@ -36,7 +36,7 @@
     for (Map.Entry<String, String> e : startup.entrySet()) {
       String name = e.getKey().toLowerCase(Locale.ROOT);
       if (name.equals("options")) {
-        for (Map.Entry<String, String> o : arguments(e.getValue()).entrySet()) {
+        for (Map.Entry<String, String> o : commandLineOptions(e.getValue()).entrySet()) {
           base = base.plus(o.getKey(), Sql.literal(o.getValue()));
         }
       } else if (!name.equals("user")
@@ -53,7 +53,7 @@
    * {@code -c name=value} and {@code --name=value}, with a backslash before a space that belongs to
    * a value.
    */
-  private static Map<String, String> arguments(String text) {
+  private static Map<String, String> commandLineOptions(String text) {
     var all = new LinkedHashMap<String, String>();
     String[] words = text.strip().split("(?<!\\\\)\\s+");
     for (int i = 0; i < words.length; i++) {
@@ -93,25 +93,26 @@
     return options.pins();
   }
 
-  PMap<String, String> told() {
-    return told;
+  PMap<String, String> reportedParameters() {
+    return reportedParameters;
   }
 
-  void told(PMap<String, String> parameters) {
-    told = parameters;
+  void reportedParameters(PMap<String, String> parameters) {
+    reportedParameters = parameters;
   }
 
-  double mark() {
-    return mark;
+  double lastCommitPosition() {
+    return lastCommitPosition;
   }
 
   /** Its newest commit: never back. */
   void committedAt(double position) {
-    mark = Double.isNaN(mark) ? position : Math.max(mark, position);
+    lastCommitPosition =
+        Double.isNaN(lastCommitPosition) ? position : Math.max(lastCommitPosition, position);
   }
 
   /** Whether its transactions only read unless they say otherwise. */
-  boolean readsByDefault() {
+  boolean readOnlyByDefault() {
     String value = options().get("default_transaction_read_only");
     return value != null && value.toLowerCase(Locale.ROOT).matches("'?(on|true|yes|1)'?");
   }
@@ -121,16 +122,16 @@
     return name.isEmpty() ? unnamed : prepared.get(name);
   }
 
-  int statements() {
+  int statementCount() {
     return prepared.size() + sqlPrepared.size();
   }
 
   /** Bytes of all that is prepared. */
-  int bytes() {
-    return bytes;
+  int preparedBytes() {
+    return preparedBytes;
   }
 
-  Map<String, Prepared> all() {
+  Map<String, Prepared> preparedByName() {
     return prepared;
   }
 
@@ -143,7 +144,7 @@
       prepared = new LinkedHashMap<>(4);
     }
     Prepared before = prepared.put(name, statement);
-    bytes += statement.bytes() - (before == null ? 0 : before.bytes());
+    preparedBytes += statement.memoryBytes() - (before == null ? 0 : before.memoryBytes());
   }
 
   /** Forgets it; returns what it was, or null. */
@@ -154,7 +155,7 @@
       return was;
     }
     Prepared was = prepared.isEmpty() ? null : prepared.remove(name);
-    bytes -= was == null ? 0 : was.bytes();
+    preparedBytes -= was == null ? 0 : was.memoryBytes();
     return was;
   }
 
@@ -171,42 +172,42 @@
 
   // ---- What happens, in the order in which the server says so.
   /** A statement has been done; the tag tells a COMMIT that was none. */
-  void done(Statement s, String tag) {
+  void apply(Statement s, String tag) {
     switch (s.kind()) {
       case PREPARE -> {
         var statement = SqlPrepared.of(s, options.statementOptions());
-        bytes += statement.bytes();
+        preparedBytes += statement.memoryBytes();
         sqlPrepared = sqlPrepared.plus(s.name(), statement);
       }
       case DEALLOCATE -> deallocate(s.name());
-      case DEALLOCATE_ALL -> forgetStatements();
+      case DEALLOCATE_ALL -> clearStatements();
       case DISCARD_ALL -> {
-        options.done(s, tag);
-        forgetStatements();
+        options.apply(s, tag);
+        clearStatements();
       }
-      default -> options.done(s, tag);
+      default -> options.apply(s, tag);
     }
   }
 
   private void deallocate(String name) {
     SqlPrepared statement = sqlPrepared.get(name);
     if (statement != null) {
-      bytes -= statement.bytes();
+      preparedBytes -= statement.memoryBytes();
       sqlPrepared = sqlPrepared.minus(name);
     } else {
       close(name);
     }
   }
 
-  private void forgetStatements() {
+  private void clearStatements() {
     prepared = Map.of();
     unnamed = null;
     sqlPrepared = HashTreePMap.empty();
-    bytes = 0;
+    preparedBytes = 0;
   }
 
-  void failed() {
-    options.failed();
+  void statementFailed() {
+    options.statementFailed();
   }
 
   void ready(char status) {
@@ -214,7 +215,7 @@
   }
 
   /** The connection is lost, and the transaction with it: what it changed is as before. */
-  void lost() {
-    options.lost();
+  void connectionLost() {
+    options.connectionLost();
   }
 }
--- a/src/main/java/crankspar/pooling/Sql.java
+++ b/src/main/java/crankspar/pooling/Sql.java
@@ -1,7 +1,7 @@
 package crankspar.pooling;
 
-import static crankspar.pooling.SqlToken.has;
-import static crankspar.pooling.SqlToken.word;
+import static crankspar.pooling.SqlToken.containsSequence;
+import static crankspar.pooling.SqlToken.wordAt;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -71,10 +71,10 @@
    * @param name what it names: an option, a savepoint, a statement, a channel, a cursor, a table,
    *     lock's arguments
    * @param value an option's value as SQL text, or null
-   * @param onlyReads BEGIN: READ ONLY was said; others: whether nothing is left behind
+   * @param readOnly BEGIN: READ ONLY was said; others: whether nothing is left behind
    */
-  record Statement(Kind kind, String text, String name, String value, boolean onlyReads) {
-    boolean control() {
+  record Statement(Kind kind, String text, String name, String value, boolean readOnly) {
+    boolean transactionControl() {
       return switch (kind) {
         case BEGIN, COMMIT, ROLLBACK, SAVEPOINT, RELEASE, ROLLBACK_TO -> true;
         default -> false;
@@ -82,7 +82,7 @@
     }
 
     /** Whether running it twice is the same as once, as far as its words tell. */
-    boolean harmless() {
+    boolean idempotent() {
       return switch (kind) {
         case READ,
                 BEGIN,
@@ -99,17 +99,17 @@
     }
   }
 
-  private static final Set<String> SESSION_LOCKS =
+  private static final Set<String> SESSION_LOCK_FUNCTIONS =
       Set.of(
           "pg_advisory_lock",
           "pg_advisory_lock_shared",
           "pg_try_advisory_lock",
           "pg_try_advisory_lock_shared");
-  private static final Set<String> SESSION_UNLOCKS =
+  private static final Set<String> SESSION_UNLOCK_FUNCTIONS =
       Set.of("pg_advisory_unlock", "pg_advisory_unlock_shared");
 
   /** Functions by which a SELECT writes. */
-  private static final Set<String> WRITING =
+  private static final Set<String> WRITING_FUNCTIONS =
       Set.of(
           "nextval",
           "setval",
@@ -127,21 +127,22 @@
           "pg_terminate_backend",
           "pg_cancel_backend");
 
-  private static final Set<String> LOCKING = Set.of("update", "share", "no", "key");
-  private static final Set<String> CHANGING = Set.of("into", "insert", "update", "delete", "merge");
+  private static final Set<String> ROW_LOCK_KEYWORDS = Set.of("update", "share", "no", "key");
+  private static final Set<String> MODIFYING_KEYWORDS =
+      Set.of("into", "insert", "update", "delete", "merge");
 
   private Sql() {}
 
   /** The statements of a text; a text of none gives none. */
   static List<Statement> split(String sql) {
     var all = new ArrayList<Statement>(1);
-    List<SqlToken> tokens = SqlToken.cut(sql);
+    List<SqlToken> tokens = SqlToken.tokenize(sql);
     int first = 0;
     for (int i = 0; i <= tokens.size(); i++) {
-      if (i == tokens.size() || tokens.get(i).sort() == ';') {
+      if (i == tokens.size() || tokens.get(i).kind() == ';') {
         if (i > first) {
           List<SqlToken> one = tokens.subList(first, i);
-          all.add(read(one, sql.substring(one.get(0).from(), one.get(one.size() - 1).to())));
+          all.add(classify(one, sql.substring(one.get(0).from(), one.get(one.size() - 1).to())));
         }
         first = i + 1;
       }
@@ -151,11 +152,11 @@
 
   /** The statement behind {@code PREPARE name (types) AS}; an unknown one where there is none. */
   static Statement preparedBody(String prepare) {
-    List<SqlToken> tokens = SqlToken.cut(prepare);
+    List<SqlToken> tokens = SqlToken.tokenize(prepare);
     for (int i = 0; i + 1 < tokens.size(); i++) {
       if (tokens.get(i).is("as")) {
         List<SqlToken> body = tokens.subList(i + 1, tokens.size());
-        return read(body, prepare.substring(body.get(0).from()));
+        return classify(body, prepare.substring(body.get(0).from()));
       }
     }
     return of(Kind.WRITE, prepare);
@@ -182,18 +183,20 @@
     return new Statement(kind, text, name, null, false);
   }
 
-  private static Statement read(List<SqlToken> t, String text) {
-    String second = word(t, 1);
-    return switch (word(t, 0)) {
-      case "begin" -> new Statement(Kind.BEGIN, text, null, null, has(t, "read", "only"));
-      case "start" -> new Statement(Kind.BEGIN, text, null, null, has(t, "read", "only"));
+  private static Statement classify(List<SqlToken> t, String text) {
+    String second = wordAt(t, 1);
+    return switch (wordAt(t, 0)) {
+      case "begin" ->
+          new Statement(Kind.BEGIN, text, null, null, containsSequence(t, "read", "only"));
+      case "start" ->
+          new Statement(Kind.BEGIN, text, null, null, containsSequence(t, "read", "only"));
       case "commit" -> of(second.equals("prepared") ? Kind.WRITE : Kind.COMMIT, text);
       case "end" -> of(Kind.COMMIT, text);
       case "abort" -> of(Kind.ROLLBACK, text);
       case "rollback" ->
           second.equals("prepared")
               ? of(Kind.WRITE, text)
-              : has(t, "to")
+              : containsSequence(t, "to")
                   ? of(Kind.ROLLBACK_TO, text, t.get(t.size() - 1).text())
                   : of(Kind.ROLLBACK, text);
       case "savepoint" -> of(Kind.SAVEPOINT, text, second);
@@ -215,45 +218,46 @@
       case "execute" -> of(Kind.EXECUTE, text, second);
       case "deallocate" -> {
         int at = second.equals("prepare") && t.size() > 2 ? 2 : 1;
-        yield word(t, at).equals("all") && text.charAt(t.get(at).from() - t.get(0).from()) != '"'
+        yield wordAt(t, at).equals("all") && text.charAt(t.get(at).from() - t.get(0).from()) != '"'
             ? of(Kind.DEALLOCATE_ALL, text)
-            : of(Kind.DEALLOCATE, text, word(t, at));
+            : of(Kind.DEALLOCATE, text, wordAt(t, at));
       }
       case "listen" -> of(Kind.LISTEN, text, second);
       case "unlisten" ->
           second.isEmpty() ? of(Kind.UNLISTEN_ALL, text) : of(Kind.UNLISTEN, text, second);
-      case "declare" -> of(has(t, "with", "hold") ? Kind.DECLARE_HOLD : Kind.READ, text, second);
+      case "declare" ->
+          of(containsSequence(t, "with", "hold") ? Kind.DECLARE_HOLD : Kind.READ, text, second);
       case "close" ->
           second.equals("all") ? of(Kind.CLOSE_ALL, text) : of(Kind.CLOSE, text, second);
-      case "create" -> temporary(t, text);
+      case "create" -> classifyCreate(t, text);
       case "drop" ->
           second.equals("table")
               ? of(Kind.DROP_TABLE, text, t.get(t.size() - 1).text())
               : of(Kind.WRITE, text);
       case "load" -> of(Kind.LOAD, text);
       case "fetch", "move" -> of(Kind.READ, text);
-      case "select", "values", "table", "show", "with" -> select(t, text);
-      case "explain" -> has(t, "analyze") ? of(Kind.WRITE, text) : of(Kind.READ, text);
-      default -> t.get(0).sort() == '(' ? select(t, text) : of(Kind.WRITE, text);
+      case "select", "values", "table", "show", "with" -> classifySelect(t, text);
+      case "explain" -> containsSequence(t, "analyze") ? of(Kind.WRITE, text) : of(Kind.READ, text);
+      default -> t.get(0).kind() == '(' ? classifySelect(t, text) : of(Kind.WRITE, text);
     };
   }
 
-  private static Statement select(List<SqlToken> t, String text) {
+  private static Statement classifySelect(List<SqlToken> t, String text) {
     boolean reads = true;
     for (int i = 0; i < t.size(); i++) {
       SqlToken token = t.get(i);
-      if (token.sort() != 'w') {
+      if (token.kind() != 'w') {
         continue;
       }
-      boolean call = i + 1 < t.size() && t.get(i + 1).sort() == '(';
+      boolean call = i + 1 < t.size() && t.get(i + 1).kind() == '(';
       if (call && token.is("set_config")) {
-        return SqlSettings.config(t, text);
+        return SqlSettings.setConfig(t, text);
       }
-      if (call && SESSION_LOCKS.contains(token.text())) {
-        return of(Kind.LOCK_SESSION, text, arguments(t, i + 1, text));
+      if (call && SESSION_LOCK_FUNCTIONS.contains(token.text())) {
+        return of(Kind.LOCK_SESSION, text, callArguments(t, i + 1, text));
       }
-      if (call && SESSION_UNLOCKS.contains(token.text())) {
-        return of(Kind.UNLOCK_SESSION, text, arguments(t, i + 1, text));
+      if (call && SESSION_UNLOCK_FUNCTIONS.contains(token.text())) {
+        return of(Kind.UNLOCK_SESSION, text, callArguments(t, i + 1, text));
       }
       if (call && token.is("pg_advisory_unlock_all")) {
         return of(Kind.UNLOCK_ALL, text);
@@ -265,20 +269,21 @@
       if (temp) {
         return of(Kind.CREATE_TEMP, text, i + 2 < t.size() ? t.get(i + 2).text() : "");
       }
-      boolean locks = token.is("for") && i + 1 < t.size() && LOCKING.contains(t.get(i + 1).text());
+      boolean locks =
+          token.is("for") && i + 1 < t.size() && ROW_LOCK_KEYWORDS.contains(t.get(i + 1).text());
       reads &=
           !(locks
-              || call && WRITING.contains(token.text())
-              || CHANGING.contains(token.text()) && (i == 0 || !t.get(i - 1).is("for")));
+              || call && WRITING_FUNCTIONS.contains(token.text())
+              || MODIFYING_KEYWORDS.contains(token.text()) && (i == 0 || !t.get(i - 1).is("for")));
     }
     return of(reads ? Kind.READ : Kind.WRITE, text);
   }
 
-  private static String arguments(List<SqlToken> t, int open, String text) {
+  private static String callArguments(List<SqlToken> t, int open, String text) {
     int depth = 0;
     int base = t.get(0).from();
     for (int i = open; i < t.size(); i++) {
-      depth += t.get(i).sort() == '(' ? 1 : t.get(i).sort() == ')' ? -1 : 0;
+      depth += t.get(i).kind() == '(' ? 1 : t.get(i).kind() == ')' ? -1 : 0;
       if (depth == 0) {
         return text.substring(t.get(open).to() - base, t.get(i).from() - base)
             .replaceAll("\\s+", "");
@@ -287,7 +292,7 @@
     return "";
   }
 
-  private static Statement temporary(List<SqlToken> t, String text) {
+  private static Statement classifyCreate(List<SqlToken> t, String text) {
     int i = 1;
     boolean temp = false;
     while (i < t.size()
@@ -299,9 +304,9 @@
     if (!temp) {
       return of(Kind.WRITE, text);
     }
-    int name = i + 1 + (word(t, i + 1).equals("if") ? 3 : 0);
-    return has(t, "on", "commit", "drop")
+    int name = i + 1 + (wordAt(t, i + 1).equals("if") ? 3 : 0);
+    return containsSequence(t, "on", "commit", "drop")
         ? of(Kind.WRITE, text)
-        : of(Kind.CREATE_TEMP, text, word(t, name));
+        : of(Kind.CREATE_TEMP, text, wordAt(t, name));
   }
 }
--- a/src/main/java/crankspar/pooling/SqlPrepared.java
+++ b/src/main/java/crankspar/pooling/SqlPrepared.java
@@ -24,7 +24,7 @@
   }
 
   /** What it counts against a client's bound. */
-  int bytes() {
-    return text.length() + options.bytes();
+  int memoryBytes() {
+    return text.length() + options.memoryBytes();
   }
 }
--- a/src/main/java/crankspar/pooling/SqlSettings.java
+++ b/src/main/java/crankspar/pooling/SqlSettings.java
@@ -1,7 +1,7 @@
 package crankspar.pooling;
 
-import static crankspar.pooling.SqlToken.has;
-import static crankspar.pooling.SqlToken.word;
+import static crankspar.pooling.SqlToken.containsSequence;
+import static crankspar.pooling.SqlToken.wordAt;
 
 import crankspar.pooling.Sql.Kind;
 import crankspar.pooling.Sql.Statement;
@@ -23,11 +23,11 @@
    * {@code set_config('name', 'value', false)}: two literals are a SET, or a SET LOCAL. Of several
    * that are all local it is known that they end with the transaction; all else is not known.
    */
-  static Statement config(List<SqlToken> t, String text) {
+  static Statement setConfig(List<SqlToken> t, String text) {
     var calls = new ArrayList<Statement>(1);
     for (int i = 0; i + 1 < t.size(); i++) {
-      if (t.get(i).is("set_config") && t.get(i + 1).sort() == '(') {
-        calls.add(configCall(t, i, text));
+      if (t.get(i).is("set_config") && t.get(i + 1).kind() == '(') {
+        calls.add(setConfigCall(t, i, text));
       }
     }
     if (calls.size() == 1) {
@@ -39,15 +39,15 @@
     return Sql.of(allLocal ? Kind.SET_LOCAL_UNKNOWN : Kind.SET_UNKNOWN, text);
   }
 
-  private static Statement configCall(List<SqlToken> t, int at, String text) {
+  private static Statement setConfigCall(List<SqlToken> t, int at, String text) {
     boolean literals =
         t.size() >= at + 8
-            && t.get(at + 2).sort() == 's'
-            && t.get(at + 4).sort() == 's'
-            && t.get(at + 3).sort() == ','
-            && t.get(at + 5).sort() == ','
-            && t.get(at + 7).sort() == ')';
-    String local = word(t, at + 6);
+            && t.get(at + 2).kind() == 's'
+            && t.get(at + 4).kind() == 's'
+            && t.get(at + 3).kind() == ','
+            && t.get(at + 5).kind() == ','
+            && t.get(at + 7).kind() == ')';
+    String local = wordAt(t, at + 6);
     if (!literals || !local.equals("true") && !local.equals("false")) {
       return Sql.of(Kind.SET_UNKNOWN, text);
     }
@@ -61,7 +61,7 @@
   }
 
   static Statement reset(List<SqlToken> t, String text) {
-    String name = word(t, 1);
+    String name = wordAt(t, 1);
     if (name.equals("all")) {
       return Sql.of(Kind.RESET_ALL, text);
     }
@@ -70,14 +70,14 @@
         text,
         name.equals("time")
             ? "timezone"
-            : name.equals("session") ? "session_authorization" : dotted(t, 1));
+            : name.equals("session") ? "session_authorization" : qualifiedName(t, 1));
   }
 
   /** A name with its parts: custom options have two. */
-  private static String dotted(List<SqlToken> t, int at) {
-    String name = word(t, at);
-    while (at + 2 < t.size() && t.get(at + 1).sort() == '.') {
-      name += "." + word(t, at + 2);
+  private static String qualifiedName(List<SqlToken> t, int at) {
+    String name = wordAt(t, at);
+    while (at + 2 < t.size() && t.get(at + 1).kind() == '.') {
+      name += "." + wordAt(t, at + 2);
       at += 2;
     }
     return name;
@@ -85,20 +85,20 @@
 
   static Statement set(List<SqlToken> t, String text) {
     int at = 1;
-    if (word(t, at).equals("local")) {
-      return local(assignment(t, at + 1, text), text);
+    if (wordAt(t, at).equals("local")) {
+      return toLocal(assignment(t, at + 1, text), text);
     }
-    if (word(t, at).equals("session") && word(t, at + 1).equals("characteristics")) {
-      return characteristics(t, text);
+    if (wordAt(t, at).equals("session") && wordAt(t, at + 1).equals("characteristics")) {
+      return sessionCharacteristics(t, text);
     }
-    if (word(t, at).equals("session") && !word(t, at + 1).equals("authorization")) {
+    if (wordAt(t, at).equals("session") && !wordAt(t, at + 1).equals("authorization")) {
       at++;
     }
     return assignment(t, at, text);
   }
 
   /** The same up to the transaction's end; DEFAULT is a value like others there. */
-  private static Statement local(Statement set, String text) {
+  private static Statement toLocal(Statement set, String text) {
     return switch (set.kind()) {
       case SET -> new Statement(Kind.SET_LOCAL, text, set.name(), set.value(), false);
       case RESET -> new Statement(Kind.SET_LOCAL, text, set.name(), DEFAULT, false);
@@ -109,27 +109,27 @@
 
   /** What stands behind SET, SET SESSION and SET LOCAL. */
   private static Statement assignment(List<SqlToken> t, int at, String text) {
-    String first = word(t, at);
+    String first = wordAt(t, at);
     int base = t.get(0).from();
     return switch (first) {
       case "transaction", "constraints" -> Sql.of(Kind.SET_LOCAL, text);
-      case "session" -> option(text, "session_authorization", rest(t, at + 2, text, base));
-      case "time" -> option(text, "timezone", rest(t, at + 2, text, base));
-      case "names" -> option(text, "client_encoding", rest(t, at + 1, text, base));
-      case "schema" -> option(text, "search_path", rest(t, at + 1, text, base));
-      case "role" -> option(text, "role", rest(t, at + 1, text, base));
+      case "session" -> option(text, "session_authorization", textFrom(t, at + 2, text, base));
+      case "time" -> option(text, "timezone", textFrom(t, at + 2, text, base));
+      case "names" -> option(text, "client_encoding", textFrom(t, at + 1, text, base));
+      case "schema" -> option(text, "search_path", textFrom(t, at + 1, text, base));
+      case "role" -> option(text, "role", textFrom(t, at + 1, text, base));
       default -> {
-        String name = dotted(t, at);
+        String name = qualifiedName(t, at);
         int i = at + 1;
-        while (i < t.size() && t.get(i).sort() != '=' && !t.get(i).is("to")) {
+        while (i < t.size() && t.get(i).kind() != '=' && !t.get(i).is("to")) {
           i++;
         }
-        yield option(text, name, i + 1 < t.size() ? rest(t, i + 1, text, base) : "");
+        yield option(text, name, i + 1 < t.size() ? textFrom(t, i + 1, text, base) : "");
       }
     };
   }
 
-  private static String rest(List<SqlToken> t, int from, String text, int base) {
+  private static String textFrom(List<SqlToken> t, int from, String text, int base) {
     return from < t.size() ? text.substring(t.get(from).from() - base) : "";
   }
 
@@ -148,20 +148,25 @@
   /**
    * {@code SET SESSION CHARACTERISTICS AS TRANSACTION ...}: defaults of the transactions to come.
    */
-  private static Statement characteristics(List<SqlToken> t, String text) {
-    boolean only = has(t, "read", "only");
-    boolean level = has(t, "isolation");
-    if ((only || has(t, "read", "write")) && !level && !has(t, "deferrable")) {
+  private static Statement sessionCharacteristics(List<SqlToken> t, String text) {
+    boolean only = containsSequence(t, "read", "only");
+    boolean level = containsSequence(t, "isolation");
+    if ((only || containsSequence(t, "read", "write"))
+        && !level
+        && !containsSequence(t, "deferrable")) {
       return new Statement(
           Kind.SET, text, "default_transaction_read_only", only ? "'on'" : "'off'", false);
     }
-    if (level && !only && !has(t, "read", "write") && !has(t, "deferrable")) {
+    if (level
+        && !only
+        && !containsSequence(t, "read", "write")
+        && !containsSequence(t, "deferrable")) {
       String name =
-          has(t, "serializable")
+          containsSequence(t, "serializable")
               ? "serializable"
-              : has(t, "repeatable", "read")
+              : containsSequence(t, "repeatable", "read")
                   ? "repeatable read"
-                  : has(t, "uncommitted") ? "read uncommitted" : "read committed";
+                  : containsSequence(t, "uncommitted") ? "read uncommitted" : "read committed";
       return new Statement(
           Kind.SET, text, "default_transaction_isolation", Sql.literal(name), false);
     }
--- a/src/main/java/crankspar/pooling/SqlToken.java
+++ b/src/main/java/crankspar/pooling/SqlToken.java
@@ -11,13 +11,13 @@
  * @param from where it begins in the text
  * @param to where it ends
  */
-record SqlToken(char sort, String text, int from, int to) {
+record SqlToken(char kind, String text, int from, int to) {
   boolean is(String word) {
-    return sort == 'w' && text.equals(word);
+    return kind == 'w' && text.equals(word);
   }
 
   /** The tokens of a text. */
-  static List<SqlToken> cut(String s) {
+  static List<SqlToken> tokenize(String s) {
     var all = new ArrayList<SqlToken>(16);
     int i = 0;
     while (i < s.length()) {
@@ -29,18 +29,18 @@
         int end = s.indexOf('\n', i);
         i = end < 0 ? s.length() : end;
       } else if (c == '/' && s.startsWith("/*", i)) {
-        i = comment(s, i);
+        i = endOfComment(s, i);
       } else if (c == '\'') {
-        i = quoted(s, i, '\'', false);
+        i = endOfQuoted(s, i, '\'', false);
         all.add(new SqlToken('s', s.substring(start, i), start, i));
       } else if (c == '"') {
-        i = quoted(s, i, '"', false);
+        i = endOfQuoted(s, i, '"', false);
         all.add(new SqlToken('i', unquote(s.substring(start, i)), start, i));
       } else if ((c == 'e' || c == 'E') && s.startsWith("'", i + 1)) {
-        i = quoted(s, i + 1, '\'', true);
+        i = endOfQuoted(s, i + 1, '\'', true);
         all.add(new SqlToken('s', s.substring(start, i), start, i));
-      } else if (c == '$' && dollar(s, i) > 0) {
-        String tag = s.substring(i, dollar(s, i));
+      } else if (c == '$' && endOfDollarTag(s, i) > 0) {
+        String tag = s.substring(i, endOfDollarTag(s, i));
         int end = s.indexOf(tag, i + tag.length());
         i = end < 0 ? s.length() : end + tag.length();
         all.add(new SqlToken('s', s.substring(start, i), start, i));
@@ -65,7 +65,7 @@
     return all;
   }
 
-  private static int comment(String s, int i) {
+  private static int endOfComment(String s, int i) {
     int depth = 0;
     while (i < s.length()) {
       if (s.startsWith("/*", i)) {
@@ -83,7 +83,7 @@
     return i;
   }
 
-  private static int quoted(String s, int i, char quote, boolean escapes) {
+  private static int endOfQuoted(String s, int i, char quote, boolean escapes) {
     for (i++; i < s.length(); i++) {
       if (escapes && s.charAt(i) == '\\') {
         i++;
@@ -99,7 +99,7 @@
   }
 
   /** Where the tag of a dollar quote ends, or 0 where there is none. */
-  private static int dollar(String s, int i) {
+  private static int endOfDollarTag(String s, int i) {
     int end = i + 1;
     while (end < s.length()
         && (Character.isLetterOrDigit(s.charAt(end))
@@ -115,14 +115,14 @@
   }
 
   /** The word or name at a place, or nothing. */
-  static String word(List<SqlToken> t, int i) {
-    return i < t.size() && (t.get(i).sort() == 'w' || t.get(i).sort() == 'i')
+  static String wordAt(List<SqlToken> t, int i) {
+    return i < t.size() && (t.get(i).kind() == 'w' || t.get(i).kind() == 'i')
         ? t.get(i).text()
         : "";
   }
 
   /** Whether these words stand there one behind the other. */
-  static boolean has(List<SqlToken> t, String... words) {
+  static boolean containsSequence(List<SqlToken> t, String... words) {
     for (int i = 0; i + words.length <= t.size(); i++) {
       int k = 0;
       while (k < words.length && t.get(i + k).is(words[k])) {
--- a/src/main/java/crankspar/pooling/StatementNames.java
+++ b/src/main/java/crankspar/pooling/StatementNames.java
@@ -10,19 +10,19 @@
  */
 final class StatementNames {
   /** A name that no statement has on a server. */
-  private static final String UNKNOWN_NAME = Prepared.PREFIX + "unknown";
+  private static final String NONEXISTENT_NAME = Prepared.NAME_PREFIX + "unknown";
 
   /** SQLSTATE of a name that is taken. */
-  private static final String NAME_TAKEN = "42P05";
+  private static final String DUPLICATE_PREPARED_STATEMENT = "42P05";
 
   /** Before the names of portals of the pooler's own. */
-  private static final String OWN_PORTAL = Prepared.PREFIX + "options_";
+  private static final String INTERNAL_PORTAL_PREFIX = Prepared.NAME_PREFIX + "options_";
 
   private final SessionState client;
   private final ServerState server;
   private final ProjectedOptions options;
   private final BatchState batch;
-  private final int mostOnServer;
+  private final int maxServerStatements;
   private final BiConsumer<Frame, PendingReply> send;
   private long prepares;
   private long preparedUnderOtherOptions;
@@ -33,13 +33,13 @@
       ServerState server,
       ProjectedOptions options,
       BatchState batch,
-      int mostOnServer,
+      int maxServerStatements,
       BiConsumer<Frame, PendingReply> send) {
     this.client = client;
     this.server = server;
     this.options = options;
     this.batch = batch;
-    this.mostOnServer = mostOnServer;
+    this.maxServerStatements = maxServerStatements;
     this.send = send;
   }
 
@@ -59,7 +59,7 @@
     client.prepare("", statement);
     Runnable undo = () -> client.prepare("", before);
     if (statement.equals(server.unnamed())) {
-      spare(statement, undo);
+      skipParse(statement, undo);
     } else {
       parseAsUnnamed(statement, undo);
     }
@@ -71,16 +71,16 @@
    * block that has failed it takes some texts and not others, and the one that is there may have to
    * be prepared first, which it would not take.
    */
-  void parseTaken(String name, Prepared taken, Prepared statement) {
-    if (batch.status() == 'E' && !server.has(taken)) {
+  void parseDuplicate(String name, Prepared existing, Prepared statement) {
+    if (batch.status() == 'E' && !server.has(existing)) {
       server.unnamed(null);
       parse("", statement, PendingReply.internal(statement, () -> {}));
-      String why = "prepared statement " + Sql.identifier(name) + " already exists";
-      failAtServer(Frame.error("ERROR", NAME_TAKEN, why, null));
+      String message = "prepared statement " + Sql.identifier(name) + " already exists";
+      failOnServer(Frame.error("ERROR", DUPLICATE_PREPARED_STATEMENT, message, null));
       return;
     }
-    ensurePrepared(taken);
-    parse(taken.name(), statement, PendingReply.to(Step.PARSE, (Prepared) null));
+    ensurePrepared(existing);
+    parse(existing.name(), statement, PendingReply.to(Step.PARSE, (Prepared) null));
   }
 
   /** The client prepares a statement under a name that is free. */
@@ -88,7 +88,7 @@
     client.prepare(name, statement);
     Runnable undo = () -> client.close(name);
     if (server.has(statement)) {
-      spare(statement, undo);
+      skipParse(statement, undo);
     } else {
       evictFor(statement);
       server.add(statement);
@@ -105,7 +105,7 @@
    * The server has it. In a block that has failed it would refuse it all the same; it is asked by
    * the unnamed statement, which is never taken.
    */
-  private void spare(Prepared statement, Runnable undo) {
+  private void skipParse(Prepared statement, Runnable undo) {
     if (batch.status() == 'E') {
       parseAsUnnamed(statement, undo);
       return;
@@ -127,13 +127,13 @@
             .undoneAtServer(() -> server.unnamed(null)));
   }
 
-  private void parse(String as, Prepared statement, PendingReply reply) {
+  private void parse(String serverName, Prepared statement, PendingReply reply) {
     prepares++;
-    send.accept(statement.parse(as), reply);
+    send.accept(statement.parseMessage(serverName), reply);
   }
 
   /** The name under which the server knows it; a name that nobody knows goes on as it is. */
-  String onServer(String name) {
+  String serverName(String name) {
     Prepared statement = client.prepared(name);
     if (statement == null) {
       if (name.isEmpty()) {
@@ -148,7 +148,7 @@
     if (statement.equals(server.unnamed())) {
       return "";
     }
-    if (!readNowAs(statement)) { // options cannot be changed back behind it without losing it
+    if (!optionsMatch(statement)) { // options cannot be changed back behind it without losing it
       ensurePrepared(statement);
       return statement.name();
     }
@@ -170,11 +170,11 @@
     evictFor(statement);
     server.add(statement);
     PendingReply reply = PendingReply.internal(statement, () -> server.remove(statement));
-    if (readNowAs(statement)) {
+    if (optionsMatch(statement)) {
       parse(statement.name(), statement, reply);
     } else {
       preparedUnderOtherOptions++;
-      var change = OptionsChange.around(statement.options(), options.now());
+      var change = OptionsChange.around(statement.options(), options.current());
       change.before().forEach(this::execute);
       parse(statement.name(), statement, reply);
       change.after().forEach(this::execute);
@@ -182,23 +182,24 @@
   }
 
   /** Whether the server would read its text now as when its client prepared it. */
-  private boolean readNowAs(Prepared statement) {
-    StatementOptions under = statement.options();
-    return under == StatementOptions.ANY || under.equals(options.now().statementOptions());
+  private boolean optionsMatch(Prepared statement) {
+    StatementOptions required = statement.options();
+    return required == StatementOptions.ANY
+        || required.equals(options.current().statementOptions());
   }
 
   /**
    * Has the server fail what it is in the midst of, by a statement that nobody has; the client
    * hears this error in its turn.
    */
-  void failAtServer(Frame error) {
-    Frame bind = Frame.body().text("").text(UNKNOWN_NAME).int16(0).int16(0).int16(0).as('B');
+  void failOnServer(Frame error) {
+    Frame bind = Frame.body().text("").text(NONEXISTENT_NAME).int16(0).int16(0).int16(0).as('B');
     send.accept(bind, PendingReply.internal(null, () -> {}).answeredAs(error));
   }
 
   /** Runs a statement of the pooler's own within the client's transaction. */
   private void execute(String sql) {
-    String portal = OWN_PORTAL + ++portals;
+    String portal = INTERNAL_PORTAL_PREFIX + ++portals;
     server.unnamed(null);
     sendInternal(Frame.body().text("").text(sql).int16(0).as('P'));
     sendInternal(Frame.body().text(portal).text("").int16(0).int16(0).int16(0).as('B'));
@@ -211,7 +212,7 @@
 
   /** Makes room for a statement: the least recently used ones are closed on the server. */
   private void evictFor(Prepared statement) {
-    for (Prepared old : Carry.statement(server, statement, mostOnServer).close()) {
+    for (Prepared old : Carry.statement(server, statement, maxServerStatements).close()) {
       server.remove(old);
       send.accept(Frame.close('S', old.name()), PendingReply.internal(old, () -> server.add(old)));
     }
--- a/src/main/java/crankspar/pooling/StatementOptions.java
+++ b/src/main/java/crankspar/pooling/StatementOptions.java
@@ -23,7 +23,7 @@
   static final String UNKNOWN = "";
 
   /** Options by which no text is read otherwise; what is not among them counts. */
-  private static final Set<String> WITHOUT_EFFECT =
+  private static final Set<String> IGNORED =
       Set.of(
           "application_name",
           "client_min_messages",
@@ -48,13 +48,13 @@
 
   /** Of these options, values as SQL text by name; {@link #UNKNOWN} may be among them. */
   static StatementOptions of(PMap<String, String> options) {
-    PMap<String, String> counting = options;
+    PMap<String, String> relevant = options;
     for (String name : options.keySet()) {
-      if (WITHOUT_EFFECT.contains(name)) {
-        counting = counting.minus(name);
+      if (IGNORED.contains(name)) {
+        relevant = relevant.minus(name);
       }
     }
-    return counting.isEmpty() ? NONE : new StatementOptions(counting);
+    return relevant.isEmpty() ? NONE : new StatementOptions(relevant);
   }
 
   /** Values as SQL text, without what is unknown. */
@@ -63,7 +63,7 @@
   }
 
   /** What it counts against a client's bound: a statement holds it for as long as it lives. */
-  int bytes() {
+  int memoryBytes() {
     int bytes = 0;
     for (Map.Entry<String, String> e : values.entrySet()) {
       bytes += e.getKey().length() + e.getValue().length();
--- a/src/main/java/crankspar/pooling/Transactional.java
+++ b/src/main/java/crankspar/pooling/TransactionalValue.java
@@ -9,16 +9,16 @@
  *
  * @param <T> an immutable value
  */
-final class Transactional<T> {
+final class TransactionalValue<T> {
   private record Savepoint<T>(String name, T value) {}
 
   /**
    * Savepoints beyond this are not told apart: rolling back to one of them goes back to the last
    * that is.
    */
-  private static final int SAVEPOINTS_MOST = 256;
+  private static final int MAX_SAVEPOINTS = 256;
 
-  private final BinaryOperator<T> undone;
+  private final BinaryOperator<T> onRollback;
   private ArrayDeque<Savepoint<T>> savepoints;
   private T committed, current;
   private boolean failed;
@@ -27,29 +27,29 @@
    * {@code undone} tells what remains, given the value before and the one given up: some things
    * outlive a rollback.
    */
-  Transactional(T value, BinaryOperator<T> undone) {
+  TransactionalValue(T value, BinaryOperator<T> onRollback) {
     committed = current = value;
-    this.undone = undone;
+    this.onRollback = onRollback;
   }
 
-  Transactional(T value) {
+  TransactionalValue(T value) {
     this(value, (before, after) -> before);
   }
 
   /** One that goes on from here by itself. */
-  Transactional<T> copy() {
-    var copy = new Transactional<>(committed, undone);
+  TransactionalValue<T> copy() {
+    var copy = new TransactionalValue<>(committed, onRollback);
     copy.current = current;
     copy.savepoints = savepoints == null ? null : savepoints.clone();
     copy.failed = failed;
     return copy;
   }
 
-  T now() {
+  T current() {
     return current;
   }
 
-  void change(T value) {
+  void set(T value) {
     current = value;
   }
 
@@ -66,7 +66,7 @@
   }
 
   void rollback() {
-    committed = current = undone.apply(committed, current);
+    committed = current = onRollback.apply(committed, current);
     savepoints = null;
     failed = false;
   }
@@ -75,14 +75,14 @@
     if (savepoints == null) {
       savepoints = new ArrayDeque<>(2);
     }
-    if (savepoints.size() < SAVEPOINTS_MOST) {
+    if (savepoints.size() < MAX_SAVEPOINTS) {
       savepoints.push(new Savepoint<>(name, current));
     }
   }
 
   /** A released savepoint goes with all that came after it; what they changed stays. */
   void release(String name) {
-    if (known(name)) {
+    if (hasSavepoint(name)) {
       while (!savepoints.pop().name().equals(name)) {
         // later ones go too
       }
@@ -91,15 +91,15 @@
 
   /** The savepoint itself stays, to be rolled back to again. */
   void rollbackTo(String name) {
-    if (known(name)) {
+    if (hasSavepoint(name)) {
       while (!savepoints.peek().name().equals(name)) {
         savepoints.pop();
       }
-      current = undone.apply(savepoints.peek().value(), current);
+      current = onRollback.apply(savepoints.peek().value(), current);
     }
   }
 
-  private boolean known(String name) {
+  private boolean hasSavepoint(String name) {
     return savepoints != null && savepoints.stream().anyMatch(s -> s.name().equals(name));
   }
 
@@ -107,7 +107,7 @@
    * A statement failed: outside a block, what its implicit transaction did is undone at the next
    * ready.
    */
-  void fail() {
+  void statementFailed() {
     failed = true;
   }
 
--- a/src/test/java/crankspar/pooling/DecoderTest.java
+++ b/src/test/java/crankspar/pooling/DecoderTest.java
@@ -29,7 +29,7 @@
       for (Frame f = d.next(); f != null; f = d.next()) {
         all.add(f);
       }
-      assertThat(d.held()).isLessThanOrEqualTo(FrameDecoder.HELD_MOST + 16);
+      assertThat(d.bufferedBytes()).isLessThanOrEqualTo(FrameDecoder.MAX_BUFFERED_LENGTH + 16);
     }
     return all;
   }
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void aLengthThatCannotBeIsRefusedAtItsHead() {
+  void impossibleLengthIsRejectedAtTheHeader() {
     var d = new FrameDecoder(false);
     d.feed(ByteBuffer.wrap(new byte[] {'Z', 0, 0, 1, 0}));
     assertThatThrownBy(d::next).isInstanceOf(Frame.Malformed.class).hasMessageContaining("type Z");
@@ -109,12 +109,12 @@
   }
 
   @Test
-  void betweenMessagesNothingIsKept() throws Exception {
+  void noBytesAreBufferedBetweenMessages() throws Exception {
     var d = new FrameDecoder(false);
     d.feed(ByteBuffer.wrap(Frame.ready('I').wire()));
     assertThat(d.next()).isNotNull();
     assertThat(d.next()).isNull();
-    assertThat(d.empty()).isTrue();
-    assertThat(d.held()).isZero();
+    assertThat(d.atMessageBoundary()).isTrue();
+    assertThat(d.bufferedBytes()).isZero();
   }
 }
--- a/src/test/java/crankspar/pooling/SqlTest.java
+++ b/src/test/java/crankspar/pooling/SqlTest.java
@@ -95,7 +95,7 @@
         "SELECT set_config('a.b', x, false) | SET_UNKNOWN",
         "SELECT set_config('timezone', 'UTC', true) | SET_LOCAL"
       })
-  void whatAStatementDoes(String sql, Kind kind) {
+  void statementKind(String sql, Kind kind) {
     assertThat(only(sql).kind()).isEqualTo(kind);
   }
 
@@ -115,7 +115,7 @@
         "SET TIME ZONE INTERVAL '-08:00' HOUR TO MINUTE | timezone | INTERVAL '-08:00' HOUR TO MINUTE",
         "SELECT set_config('TimeZone', 'UTC', false) | timezone | 'UTC'"
       })
-  void whatIsSet(String sql, String name, String value) {
+  void nameAndValueOfSet(String sql, String name, String value) {
     Statement s = only(sql);
     assertThat(s.kind()).isEqualTo(Kind.SET);
     assertThat(s.name()).isEqualTo(name);
@@ -132,12 +132,12 @@
             "SELECT ';'", "SELECT E'\\';'", "SELECT $a$;$a$", "SELECT \"a;b\"", "SELECT 1");
     assertThat(Sql.split(" ; /* only */ ;-- a comment")).isEmpty();
     assertThat(only("SELECT $1 || $2").kind()).isEqualTo(Kind.READ);
-    assertThat(only("BEGIN ISOLATION LEVEL READ COMMITTED READ ONLY").onlyReads()).isTrue();
+    assertThat(only("BEGIN ISOLATION LEVEL READ COMMITTED READ ONLY").readOnly()).isTrue();
     assertThat(Sql.literal("a'b\\c")).isEqualTo(" E'a''b\\\\c'");
   }
 
   @Property(seed = "20261201", tries = 2000)
-  void anyTextIsReadWithoutFailing(
+  void anyTextIsParsedWithoutFailing(
       @ForAll
           @StringLength(max = 80)
           @Chars({
@@ -152,7 +152,7 @@
 
   @Test
   @Timeout(value = 5, unit = TimeUnit.SECONDS)
-  void aLongTextTakesTimeInProportion() {
+  void parsingTimeIsLinearInTextLength() {
     assertThat(Sql.split("SELECT 1;".repeat(100_000))).hasSize(100_000);
     assertThat(Sql.split("/*".repeat(300_000))).isEmpty();
     assertThat(Sql.split("$a".repeat(300_000))).hasSize(1);
--- a/src/test/java/crankspar/pooling/StateTest.java
+++ b/src/test/java/crankspar/pooling/StateTest.java
@@ -17,10 +17,10 @@
  * Pins.
  */
 class StateTest {
-  private static void done(SessionState s, String... statements) {
+  private static void apply(SessionState s, String... statements) {
     for (String sql : statements) {
       Sql.Statement one = Sql.split(sql).get(0);
-      s.done(one, one.kind() == Sql.Kind.COMMIT ? "COMMIT" : "ROLLBACK");
+      s.apply(one, one.kind() == Sql.Kind.COMMIT ? "COMMIT" : "ROLLBACK");
     }
   }
 
@@ -35,13 +35,13 @@
   @Test
   void settingsFollowTransactions() {
     SessionState s = state();
-    done(s, "SET a TO 1");
+    apply(s, "SET a TO 1");
     s.ready('I');
-    done(s, "BEGIN", "SET a TO 2", "SET LOCAL a TO 3");
+    apply(s, "BEGIN", "SET a TO 2", "SET LOCAL a TO 3");
     assertThat(s.options()).containsEntry("a", "2");
-    done(s, "ROLLBACK");
+    apply(s, "ROLLBACK");
     assertThat(s.options()).containsEntry("a", "1");
-    done(
+    apply(
         s,
         "BEGIN",
         "SET a TO 4",
@@ -51,7 +51,7 @@
         "SET b TO 6",
         "ROLLBACK TO x");
     assertThat(s.options()).containsEntry("a", "4").doesNotContainKey("b");
-    done(s, "SET a TO 7", "RELEASE x", "COMMIT");
+    apply(s, "SET a TO 7", "RELEASE x", "COMMIT");
     s.ready('I');
     assertThat(s.options()).containsEntry("a", "7");
   }
@@ -59,20 +59,20 @@
   @Test
   void aFailedImplicitTransactionChangesNothing() {
     SessionState s = state();
-    done(s, "SET a TO 1");
-    s.failed(); // "SET a TO 1; SELECT nonsense" as one simple query
+    apply(s, "SET a TO 1");
+    s.statementFailed(); // "SET a TO 1; SELECT nonsense" as one simple query
     s.ready('I');
     assertThat(s.options()).isEmpty();
-    done(s, "SET a TO 1", "BEGIN", "SET a TO 2");
-    s.failed();
+    apply(s, "SET a TO 1", "BEGIN", "SET a TO 2");
+    s.statementFailed();
     s.ready('E');
-    s.done(Sql.split("COMMIT").get(0), "ROLLBACK"); // a COMMIT of a failed block
+    s.apply(Sql.split("COMMIT").get(0), "ROLLBACK"); // a COMMIT of a failed block
     s.ready('I');
     assertThat(s.options()).doesNotContainEntry("a", "2");
   }
 
   @Test
-  void aResetGoesBackToTheStart() {
+  void resetRestoresStartupValues() {
     SessionState s =
         state(
             "TimeZone",
@@ -86,44 +86,44 @@
         .containsEntry("work_mem", "'8MB'")
         .containsEntry("search_path", "'a b'")
         .hasSize(3);
-    done(s, "SET TIME ZONE 'UTC'", "SET x.y TO 1");
-    done(s, "RESET timezone", "RESET x.y");
+    apply(s, "SET TIME ZONE 'UTC'", "SET x.y TO 1");
+    apply(s, "RESET timezone", "RESET x.y");
     assertThat(s.options())
         .containsEntry("timezone", "'America/Vancouver'")
         .doesNotContainKey("x.y");
-    done(s, "SET work_mem TO '1MB'", "RESET ALL");
+    apply(s, "SET work_mem TO '1MB'", "RESET ALL");
     assertThat(s.options()).containsEntry("work_mem", "'8MB'");
   }
 
   @Test
-  void statementsOutliveARollbackAndDiscardEndsThem() {
+  void statementsSurviveRollbackUntilDiscard() {
     SessionState s = state();
     s.prepare("a", Prepared.of("SELECT 1", new byte[2]));
-    done(s, "BEGIN", "PREPARE b AS SELECT 2", "ROLLBACK");
-    assertThat(s.statements()).isEqualTo(2);
-    assertThat(s.bytes()).isPositive();
-    done(s, "DEALLOCATE a");
+    apply(s, "BEGIN", "PREPARE b AS SELECT 2", "ROLLBACK");
+    assertThat(s.statementCount()).isEqualTo(2);
+    assertThat(s.preparedBytes()).isPositive();
+    apply(s, "DEALLOCATE a");
     assertThat(s.prepared("a")).isNull();
-    done(s, "DISCARD ALL");
-    assertThat(s.statements()).isZero();
-    assertThat(s.bytes()).isZero();
+    apply(s, "DISCARD ALL");
+    assertThat(s.statementCount()).isZero();
+    assertThat(s.preparedBytes()).isZero();
   }
 
   @Test
-  void aCarrySaysOnlyWhatDiffers() {
+  void carryContainsOnlyDifferences() {
     SessionState client = state("TimeZone", "UTC");
     var server = new ServerState();
     assertThat(Carry.settings(server, client)).isEqualTo("SET TIME ZONE 'UTC'");
     server.carried(client.options(), client.sqlPrepared());
     assertThat(Carry.settings(server, client)).isNull();
     assertThat(Carry.distance(server, client)).isZero();
-    done(client, "SET search_path TO a, b", "SET ROLE r", "PREPARE p AS SELECT 1");
+    apply(client, "SET search_path TO a, b", "SET ROLE r", "PREPARE p AS SELECT 1");
     client.ready('I');
     assertThat(Carry.settings(server, client))
         .isEqualTo("SET search_path TO a, b; SET role TO r; PREPARE p AS SELECT 1");
     server.carried(client.options(), client.sqlPrepared());
     SessionState other = state();
-    done(other, "PREPARE p AS SELECT 2");
+    apply(other, "PREPARE p AS SELECT 2");
     assertThat(Carry.settings(server, other))
         .isEqualTo(
             "RESET role; RESET search_path; RESET timezone; DEALLOCATE \"p\"; PREPARE p AS SELECT 2");
@@ -131,10 +131,10 @@
 
   /** Guards against a statement that is shared though its options are known to nobody. */
   @Test
-  void settingsThatNobodyKnowsAreUnlikeAnyOthers() {
+  void unknownSettingsEqualNoOthers() {
     SessionState one = state("TimeZone", "UTC");
     SessionState other = state("TimeZone", "UTC");
-    assertThat(read(one)).isEqualTo(read(other));
+    assertThat(statementOptions(one)).isEqualTo(statementOptions(other));
     for (String sql :
         List.of(
             "SELECT set_config(x, y, false)",
@@ -143,40 +143,41 @@
             "RESET timezone")) {
       one = state("TimeZone", "UTC");
       other = state("TimeZone", "UTC");
-      done(one, sql);
-      done(other, sql);
-      assertThat(read(one)).as(sql).isNotEqualTo(read(other));
+      apply(one, sql);
+      apply(other, sql);
+      assertThat(statementOptions(one)).as(sql).isNotEqualTo(statementOptions(other));
     }
     other.ready('I');
-    assertThat(read(other)).isEqualTo(read(state("TimeZone", "UTC")));
-    done(other, "BEGIN", "SET LOCAL timezone TO 'Asia/Tokyo'");
-    assertThat(read(other)).isEqualTo(read(state("TimeZone", "Asia/Tokyo")));
+    assertThat(statementOptions(other)).isEqualTo(statementOptions(state("TimeZone", "UTC")));
+    apply(other, "BEGIN", "SET LOCAL timezone TO 'Asia/Tokyo'");
+    assertThat(statementOptions(other))
+        .isEqualTo(statementOptions(state("TimeZone", "Asia/Tokyo")));
   }
 
-  private static StatementOptions read(SessionState session) {
+  private static StatementOptions statementOptions(SessionState session) {
     return session.sessionOptions().statementOptions();
   }
 
   /** Guards against a heap full of options that only statements still hold. */
   @Test
-  void theOptionsThatAStatementHoldsCountAgainstItsClientsBound() {
+  void statementOptionsCountTowardsTheClientsMemoryBound() {
     SessionState s = state();
-    done(s, "SET x.y TO '" + "z".repeat(10_000) + "'");
-    s.prepare("a", Prepared.of("SELECT 'a'", new byte[2]).under(read(s)));
-    assertThat(s.bytes()).isBetween(10_000, 10_200);
-    done(s, "PREPARE b AS SELECT 'b'");
-    assertThat(s.bytes()).isBetween(20_000, 20_300);
-    done(s, "DEALLOCATE b", "DEALLOCATE a");
-    assertThat(s.bytes()).isZero();
+    apply(s, "SET x.y TO '" + "z".repeat(10_000) + "'");
+    s.prepare("a", Prepared.of("SELECT 'a'", new byte[2]).withOptions(statementOptions(s)));
+    assertThat(s.preparedBytes()).isBetween(10_000, 10_200);
+    apply(s, "PREPARE b AS SELECT 'b'");
+    assertThat(s.preparedBytes()).isBetween(20_000, 20_300);
+    apply(s, "DEALLOCATE b", "DEALLOCATE a");
+    assertThat(s.preparedBytes()).isZero();
   }
 
   @Test
-  void theOptionsAroundAParseLeaveThoseOfSessionAndTransactionAsTheyWere() {
+  void optionsChangeAroundAParseRestoresSessionAndLocalOptions() {
     SessionState client = state("TimeZone", "UTC", "application_name", "a");
-    StatementOptions then = read(client);
-    done(client, "SET timezone TO 'Asia/Tokyo'", "SET search_path TO b");
+    StatementOptions then = statementOptions(client);
+    apply(client, "SET timezone TO 'Asia/Tokyo'", "SET search_path TO b");
     client.ready('I');
-    done(client, "BEGIN", "SET LOCAL timezone TO 'America/Vancouver'");
+    apply(client, "BEGIN", "SET LOCAL timezone TO 'America/Vancouver'");
     assertThat(OptionsChange.around(then, client.sessionOptions()))
         .isEqualTo(
             new OptionsChange(
@@ -188,7 +189,7 @@
   }
 
   @Test
-  void theLeastRecentlyUsedStatementMakesRoom() {
+  void leastRecentlyUsedStatementIsEvicted() {
     var server = new ServerState();
     Prepared a = Prepared.of("SELECT 'a'", new byte[2]);
     Prepared b = Prepared.of("SELECT 'b'", new byte[2]);
@@ -199,11 +200,11 @@
     assertThat(Carry.statement(server, c, 2)).isEqualTo(new Carry.Bringing(List.of(b), true));
     assertThat(Carry.statement(server, a, 2).parse()).isFalse();
     assertThat(Prepared.of("SELECT 'a'", new byte[2])).isSameAs(a);
-    assertThat(a.name()).startsWith(Prepared.PREFIX).isNotEqualTo(b.name()).hasSize(35);
+    assertThat(a.name()).startsWith(Prepared.NAME_PREFIX).isNotEqualTo(b.name()).hasSize(35);
   }
 
   @Test
-  void pinsHaveAWayOut() {
+  void pinsAreReleased() {
     Pins p = Pins.NONE;
     for (String sql :
         List.of(
@@ -214,7 +215,7 @@
             "SELECT pg_advisory_lock(1)",
             "SELECT pg_advisory_lock(1)",
             "SELECT set_config(x, y, false)")) {
-      p = p.done(Sql.split(sql).get(0));
+      p = p.apply(Sql.split(sql).get(0));
     }
     assertThat(p.kinds())
         .containsExactlyInAnyOrder(
@@ -225,39 +226,39 @@
             Pins.Kind.SETTING);
     for (String sql :
         List.of("UNLISTEN a", "DROP TABLE t", "CLOSE c", "SELECT pg_advisory_unlock(1)")) {
-      p = p.done(Sql.split(sql).get(0));
+      p = p.apply(Sql.split(sql).get(0));
     }
     assertThat(p.kinds())
         .containsExactlyInAnyOrder(Pins.Kind.LISTEN, Pins.Kind.LOCK, Pins.Kind.SETTING);
-    p = p.done(Sql.split("SELECT pg_advisory_unlock(1)").get(0));
+    p = p.apply(Sql.split("SELECT pg_advisory_unlock(1)").get(0));
     assertThat(p.kinds()).doesNotContain(Pins.Kind.LOCK);
-    assertThat(p.done(Sql.split("DISCARD ALL").get(0)).none()).isTrue();
+    assertThat(p.apply(Sql.split("DISCARD ALL").get(0)).isEmpty()).isTrue();
     assertThat(
             Pins.NONE
-                .done(Sql.split("LOAD 'x'").get(0))
-                .done(Sql.split("DISCARD ALL").get(0))
-                .none())
+                .apply(Sql.split("LOAD 'x'").get(0))
+                .apply(Sql.split("DISCARD ALL").get(0))
+                .isEmpty())
         .isFalse();
   }
 
   @Test
-  void aRollbackGivesBackAListenButNoLock() {
+  void rollbackReleasesListenButNotSessionLocks() {
     SessionState s = state();
-    done(s, "BEGIN", "LISTEN a", "SELECT pg_advisory_lock(1)", "ROLLBACK");
+    apply(s, "BEGIN", "LISTEN a", "SELECT pg_advisory_lock(1)", "ROLLBACK");
     assertThat(s.pins().kinds()).containsExactly(Pins.Kind.LOCK);
   }
 
   @Test
-  void aMarkNeverGoesBack() {
+  void lastCommitPositionNeverDecreases() {
     SessionState s = state();
     s.committedAt(100);
     s.committedAt(50);
-    assertThat(s.mark()).isEqualTo(100);
+    assertThat(s.lastCommitPosition()).isEqualTo(100);
   }
 
   /** Against plain copies of whole maps, over random programs of SET, savepoints and ends. */
   @Property(seed = "20261201", tries = 500)
-  void settingsAreAsPlainCopiesHaveThem(
+  void settingsMatchAModelOfCopiedMaps(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int steps) {
     var random = new Random(seed);
     SessionState s = state();
@@ -270,31 +271,31 @@
       String option = "o" + random.nextInt(3);
       int what = random.nextInt(8);
       if (what < 3) {
-        done(s, "SET " + option + " TO " + i);
+        apply(s, "SET " + option + " TO " + i);
         now.put(option, Integer.toString(i));
       } else if (what == 3) {
-        done(s, "RESET " + option);
+        apply(s, "RESET " + option);
         now.remove(option);
       } else if (what == 4 && !block) {
-        done(s, "BEGIN");
+        apply(s, "BEGIN");
         block = true;
       } else if (what == 5 && block) {
         String name = "s" + random.nextInt(3);
-        done(s, "SAVEPOINT " + name);
+        apply(s, "SAVEPOINT " + name);
         names.add(name);
         copies.add(new HashMap<>(now));
       } else if (what == 6 && !names.isEmpty()) {
         String name = names.get(random.nextInt(names.size()));
         int at = names.lastIndexOf(name);
         boolean release = random.nextBoolean();
-        done(s, (release ? "RELEASE " : "ROLLBACK TO ") + name);
+        apply(s, (release ? "RELEASE " : "ROLLBACK TO ") + name);
         now = release ? now : new HashMap<>(copies.get(at));
         int keep = release ? at : at + 1;
         names.subList(keep, names.size()).clear();
         copies.subList(keep, copies.size()).clear();
       } else if (what == 7 && block) {
         boolean commit = random.nextBoolean();
-        done(s, commit ? "COMMIT" : "ROLLBACK");
+        apply(s, commit ? "COMMIT" : "ROLLBACK");
         now = commit ? now : new HashMap<>(committed);
         block = false;
         names.clear();
--- a/src/test/java/crankspar/pooling/StatementOptionsTest.java
+++ b/src/test/java/crankspar/pooling/StatementOptionsTest.java
@@ -59,7 +59,7 @@
 
   /** Guards against a client's own older statement in place of one that it prepares anew. */
   @Test
-  void theSameWordsPreparedAnewAfterASetAreReadAnew() throws Exception {
+  void sameTextPreparedAfterASetUsesTheNewOptions() throws Exception {
     try (var stand = new Stand(0, places(1));
         PgWire client = client(stand, UTC)) {
       prepare(client, "a", SQL);
