--- a/src/main/java/crankspar/pooling/BatchCollector.java
+++ b/src/main/java/crankspar/pooling/BatchCollector.java
@@ -12,17 +12,17 @@
    * An opening batch of more bytes than this is not held: it goes on as it comes, to one member
    * only.
    */
-  private static final int OPENING_MOST = 64 * 1024;
+  private static final int MAX_OPENING_BYTES = 64 * 1024;
 
   private final Client client;
-  private final ClientDesk desk;
+  private final ClientContext context;
   private List<Frame> frames = new ArrayList<>(4);
   private int bytes;
   private boolean skipping;
 
-  BatchCollector(Client client, ClientDesk desk) {
+  BatchCollector(Client client, ClientContext desk) {
     this.client = client;
-    this.desk = desk;
+    this.context = desk;
   }
 
   int bytes() {
@@ -50,12 +50,12 @@
       }
       return;
     }
-    if (frames.isEmpty() && needsNoServer(f)) {
+    if (frames.isEmpty() && answeredLocally(f)) {
       return;
     }
     frames.add(f);
     bytes += f.size();
-    if (f.endsBatch() || f.type() == 'H' || bytes > OPENING_MOST) {
+    if (f.endsBatch() || f.type() == 'H' || bytes > MAX_OPENING_BYTES) {
       List<Frame> opening = frames;
       frames = new ArrayList<>(4);
       bytes = 0;
@@ -63,7 +63,7 @@
     }
   }
 
-  private boolean needsNoServer(Frame f) throws Frame.Malformed {
+  private boolean answeredLocally(Frame f) throws Frame.Malformed {
     switch (f.type()) {
       case 'S' -> client.write(List.of(Frame.ready('I')));
       case 'H', 'd', 'c', 'f', Frame.PART -> {}
@@ -96,8 +96,11 @@
     String user = client.user();
     try {
       Route.Way way =
-          desk.route().way(database.as(user), batch.text(), batch.statements(), client.session());
-      client.ask(new Opening(client, opening, whole, way, batch.onlyBegins(), database.mode(user)));
+          context
+              .route()
+              .way(database.as(user), batch.text(), batch.statements(), client.session());
+      client.submit(
+          new OpeningBatch(client, opening, whole, way, batch.onlyBegins(), database.mode(user)));
     } catch (Route.Refused e) {
       client.reject(e.code, e.getMessage(), whole);
     }
--- a/src/main/java/crankspar/pooling/BatchState.java
+++ b/src/main/java/crankspar/pooling/BatchState.java
@@ -23,7 +23,7 @@
    * A COPY failed that such a Sync stood behind: the server may have read it after the error, and
    * answers it then.
    */
-  private boolean syncInDoubt;
+  private boolean syncUncertain;
 
   /** Whether the end of a COPY's data went out in this batch before the COPY was known to begin. */
   private boolean endOfDataSent;
@@ -46,7 +46,7 @@
   }
 
   /** Whether the client's next messages must wait for the server to be ready. */
-  boolean pausing() {
+  boolean awaitingReady() {
     return awaitsReady && !copying;
   }
 
@@ -63,8 +63,8 @@
   }
 
   /** Whether the server may answer a Sync that it was to ignore. */
-  boolean syncInDoubt() {
-    return syncInDoubt;
+  boolean syncUncertain() {
+    return syncUncertain;
   }
 
   /** Whether a statement has been executed in that batch: its Sync would commit it. */
@@ -81,7 +81,7 @@
   }
 
   /** After an error all up to the Sync is passed over, and within a COPY's data a Sync. */
-  boolean passesOver(Frame f) {
+  boolean skips(Frame f) {
     return f.type() == 'S' ? copying : skipping;
   }
 
@@ -104,18 +104,18 @@
    * Whether a message of a COPY's data goes on. Within a batch the COPY may have begun already; a
    * server drops data that it has not asked for.
    */
-  boolean passesData(Frame f) {
-    boolean goesOn = f.type() == Frame.PART ? inParts : copying || serverBatchOpen;
-    inParts = goesOn && !f.whole();
-    return goesOn;
+  boolean forwardsData(Frame f) {
+    boolean forwards = f.type() == Frame.PART ? inParts : copying || serverBatchOpen;
+    inParts = forwards && !f.whole();
+    return forwards;
   }
 
   /** Whether the end of a COPY's data goes on. */
-  boolean passesEndOfData() {
+  boolean forwardsEndOfData() {
     endOfDataSent = !copying && serverBatchOpen;
-    boolean goesOn = copying || serverBatchOpen;
+    boolean forwards = copying || serverBatchOpen;
     copying = false;
-    return goesOn;
+    return forwards;
   }
 
   /** Whether the data of a COPY that has just begun is all sent, with what stands behind it. */
@@ -124,7 +124,7 @@
   }
 
   /** {@code syncBehind}: the batch goes on, as a Sync within a COPY's data is ignored. */
-  void copyBegins(boolean syncBehind) {
+  void copyStarted(boolean syncBehind) {
     copying = true;
     syncIgnored = syncBehind;
     if (syncBehind) {
@@ -134,24 +134,24 @@
   }
 
   /** A statement is done, and with it a COPY: the server has read all that came before its end. */
-  void executed() {
+  void statementCompleted() {
     syncIgnored = false;
   }
 
   /** An error has come: a COPY ends with it. */
   void failed() {
     copying = false;
-    syncInDoubt |= syncIgnored;
+    syncUncertain |= syncIgnored;
     syncIgnored = false;
   }
 
   /** A message was refused before it reached the server: the rest of its batch is passed over. */
-  void refused() {
+  void messageRefused() {
     skipping = true;
   }
 
   /** A refused simple query needs no Sync. */
-  void refusedQuery() {
+  void queryRefused() {
     skipping = false;
   }
 
@@ -165,11 +165,11 @@
     awaitsReady = false;
   }
 
-  void ready(char now) throws Frame.Malformed {
-    if (now != 'I' && now != 'T' && now != 'E') {
+  void ready(char newStatus) throws Frame.Malformed {
+    if (newStatus != 'I' && newStatus != 'T' && newStatus != 'E') {
       throw new Frame.Malformed("ready in no known state");
     }
-    status = now;
+    status = newStatus;
     awaitsReady = copying = syncIgnored = endOfDataSent = false;
   }
 
--- a/src/main/java/crankspar/pooling/Client.java
+++ b/src/main/java/crankspar/pooling/Client.java
@@ -14,41 +14,41 @@
  * while it has a server's connection. Each command gets one answer, in order, or the connection ends cleanly.
  */
 final class Client implements ConnectionHandler, Ports.Reply<Answer> {
-    private static final int HELD_MOST = 64 * 1024;
+    private static final int MAX_HELD_BYTES = 64 * 1024;
 
-    private final ClientDesk desk;
+    private final ClientContext context;
     private final FrameDecoder decoder = new FrameDecoder(true);
     private final int process;
     private final int secret;
     private final double connectedAt;
-    private Connection out;
+    private Connection connection;
     private ClientState state = ClientState.LOGIN;
-    private double since, arrived, askedAt;
+    private double stateSince, arrivedAt, requestedAt;
     private ServerKey key;
     private String databaseName;
     private String user;
     private SessionState session;
     private final Login login;
     /** What waits for its turn; its bytes count against all clients' bound. */
-    private final HeldFrames held = new HeldFrames();
-    private int counted;
+    private final FrameQueue held = new FrameQueue();
+    private int accountedBytes;
     private final BatchCollector collector;
-    private boolean pumping, serverTakes = true, reading = true;
+    private boolean processing, serverWritable = true, reading = true;
     /** Null but for a client of the console. */
     private ConsoleSession console;
-    private Opening opening;
+    private OpeningBatch opening;
     private Lease lease;
-    private Flow toClient;
+    private Backpressure toClient;
     long ticket;
     /** The core's name of its request, once it has one. */
     String request;
     private long transactions;
 
-    Client(ClientDesk desk, int process, int secret) {
-        this.desk = desk;
+    Client(ClientContext desk, int process, int secret) {
+        this.context = desk;
         this.process = process;
         this.secret = secret;
-        connectedAt = since = desk.now();
+        connectedAt = stateSince = desk.now();
         login = new Login(this, desk);
         collector = new BatchCollector(this, desk);
     }
@@ -56,27 +56,27 @@
     int process() { return process; }
     int secret() { return secret; }
     ClientState state() { return state; }
-    double since() { return since; }
+    double stateSince() { return stateSince; }
     double connectedAt() { return connectedAt; }
     ServerKey key() { return key; }
     String user() { return user; }
     String databaseName() { return databaseName; }
     SessionState session() { return session; }
-    Opening opening() { return opening; }
+    OpeningBatch opening() { return opening; }
     Lease lease() { return lease; }
     long transactions() { return transactions; }
     /** The earliest time at which its opening may have come, or at which it came to its turn (ms). */
-    double askedAt() { return askedAt; }
+    double requestedAt() { return requestedAt; }
 
     /** Its database as set up now; one that is no longer set up has no places. */
-    Setup.Database database() { return desk.database(databaseName); }
+    Setup.Database database() { return context.database(databaseName); }
 
-    private void to(ClientState next) {
+    private void enter(ClientState next) {
         state = next;
-        since = desk.now();
+        stateSince = context.now();
     }
 
-    @Override public void opened(Connection out) { this.out = out; }
+    @Override public void opened(Connection out) { this.connection = out; }
 
     // ---- From the client.
     @Override public void received(ByteBuffer in) {
@@ -84,7 +84,7 @@
             in.position(in.limit());
             return;
         }
-        arrived = held.isEmpty() ? Math.min(desk.now(), out.earliestArrival()) : arrived;
+        arrivedAt = held.isEmpty() ? Math.min(context.now(), connection.earliestArrival()) : arrivedAt;
         decoder.feed(in);
         try {
             for (Frame f = decoder.next(); f != null && state != ClientState.LEAVING; f = decoder.next()) {
@@ -95,21 +95,21 @@
                 }
             }
         } catch (Frame.Malformed e) {
-            desk.count("pooling_client_malformed");
+            context.count("pooling_client_malformed");
             fatal("08P01", e.getMessage());
             return;
         }
         if (state != ClientState.LEAVING) {
-            account();
-            gate();
-            desk.later(this::goOn);
+            accountBytes();
+            updateReading();
+            context.runLater(this::resume);
         }
     }
 
     // ---- Its start.
-    void refuseEncryption() { out.write(new byte[] {'N'}); }
+    void refuseEncryption() { connection.write(new byte[] {'N'}); }
 
-    void named(String user, String databaseName) {
+    void identified(String user, String databaseName) {
         this.user = user;
         this.databaseName = databaseName;
     }
@@ -124,92 +124,92 @@
         session = SessionState.of(Map.of());
     }
 
-    void welcomed(List<Frame> frames) {
-        to(ClientState.IDLE);
+    void loggedIn(List<Frame> frames) {
+        enter(ClientState.IDLE);
         write(frames);
     }
 
     /** Takes what has come, in order, as far as it may go on now. */
-    private void pump() {
-        if (pumping) {
+    private void processHeld() {
+        if (processing) {
             return;
         }
-        pumping = true;
+        processing = true;
         try {
-            while (!held.isEmpty() && state != ClientState.LEAVING && may()) {
+            while (!held.isEmpty() && state != ClientState.LEAVING && canProceed()) {
                 Frame f = held.poll();
                 if (lease != null && f.type() != 'X') {
                     lease.forward(held.pollBatch(f));
                 } else {
-                    on(f);
+                    handle(f);
                 }
-                held.passed();
+                held.frameProcessed();
             }
         } catch (Frame.Malformed e) {
-            desk.count("pooling_client_malformed");
+            context.count("pooling_client_malformed");
             fatal("08P01", e.getMessage());
         } finally {
-            pumping = false;
+            processing = false;
         }
         if (state != ClientState.LEAVING) {
-            account();
-            gate();
+            accountBytes();
+            updateReading();
         }
-        if (desk.draining()) {
+        if (context.draining()) {
             closeIfIdle();
         }
     }
 
-    private boolean may() {
-        return lease != null ? !lease.pausing() && serverTakes : state == ClientState.IDLE && opening == null;
+    private boolean canProceed() {
+        return lease != null ? !lease.awaitingReady() && serverWritable : state == ClientState.IDLE && opening == null;
     }
 
-    private void account() {
-        int now = held.bytes() + collector.bytes() + decoder.held();
-        int more = now - counted;
-        counted = now;
-        if (more != 0 && !desk.hold(more)) {
+    private void accountBytes() {
+        int current = held.bytes() + collector.bytes() + decoder.held();
+        int change = current - accountedBytes;
+        accountedBytes = current;
+        if (change != 0 && !context.reserveBytes(change)) {
             fatal("53200", "no room for long messages now");
         }
     }
 
     /** What has nowhere to go is not read; a whole message always fits. */
-    private void gate() {
-        boolean wanted = held.bytes() <= HELD_MOST && serverTakes;
+    private void updateReading() {
+        boolean wanted = held.bytes() <= MAX_HELD_BYTES && serverWritable;
         if (wanted != reading) {
             reading = wanted;
-            out.reading(wanted);
+            connection.reading(wanted);
         }
     }
 
     /** Its server takes more, or not now. */
-    void serverTakes(boolean on) {
-        serverTakes = on;
+    void serverWritable(boolean on) {
+        serverWritable = on;
         if (state != ClientState.LEAVING) {
             if (on) {
-                pump();
+                processHeld();
             }
-            gate();
+            updateReading();
         }
     }
 
     /** Its server is ready for what comes next, or something has come. */
-    void goOn() {
+    void resume() {
         if (present()) {
-            pump();
+            processHeld();
         }
     }
 
     @Override public void taken(String request) { this.request = request; }
 
     @Override public boolean present() {
-        out.readNow();
+        connection.readNow();
         return state != ClientState.LEAVING;
     }
 
-    private void on(Frame f) throws Frame.Malformed {
+    private void handle(Frame f) throws Frame.Malformed {
         if (f.type() == 'X') {
-            leaveAndClose();
+            disconnect();
         } else if (console != null) {
             write(console.answer(f));
         } else {
@@ -220,19 +220,19 @@
     /** Whether a cancel came for what is opened now; it counts once. */
     boolean takeCancel() { return held.takeCancel(); }
 
-    void ask(Opening opening) {
+    void submit(OpeningBatch opening) {
         this.opening = opening;
-        askedAt = Math.max(arrived, since);
+        requestedAt = Math.max(arrivedAt, stateSince);
         if (state != ClientState.LOGIN) {
-            to(ClientState.WAITING);
+            enter(ClientState.WAITING);
         }
-        desk.ask(this, opening);
+        context.submit(this, opening);
     }
 
     /** It has its place, and the module has its request. */
-    void placed() {
+    void placeAssigned() {
         if (state == ClientState.WAITING) {
-            to(ClientState.ACTIVE);
+            enter(ClientState.ACTIVE);
         }
     }
 
@@ -246,16 +246,16 @@
 
     // ---- The answer.
     /** No place came free. */
-    void refused(String why) { answer(new FinalAnswer.Refused<>(0), why); }
+    void placeRefused(String why) { answer(new FinalAnswer.Refused<>(0), why); }
 
     @Override public void began(Answer answer) {
         if (state == ClientState.LOGIN) {
             return;
         }
         lease = answer.lease();
-        toClient = new Flow(on -> {
+        toClient = new Backpressure(on -> {
             if (lease != null) {
-                lease.readServer(on);
+                lease.setServerReading(on);
             }
         });
         fromServer(answer.frames());
@@ -267,51 +267,51 @@
             return;
         }
         byte[] bytes = Frame.join(frames);
-        Flow flow = toClient;
-        flow.queued(bytes.length);
-        out.write(bytes, bytes.length, () -> flow.left(bytes.length));
+        Backpressure flow = toClient;
+        flow.bytesQueued(bytes.length);
+        connection.write(bytes, bytes.length, () -> flow.bytesWritten(bytes.length));
     }
 
     @Override public void answer(FinalAnswer<Answer> answer) { answer(answer, "refused: trying again is harmless"); }
 
     private void answer(FinalAnswer<Answer> answer, String refusal) {
-        Opening had = opening;
-        boolean partly = lease != null;
+        OpeningBatch answered = opening;
+        boolean begun = lease != null;
         opening = null;
         lease = null;
         request = null;
-        serverTakes = true;
-        desk.over(this);
-        if (state == ClientState.LEAVING || had == null) {
+        serverWritable = true;
+        context.requestEnded(this);
+        if (state == ClientState.LEAVING || answered == null) {
             return;
         }
         if (state == ClientState.LOGIN) {
-            login.learned(answer, had, refusal);
-            pump();
+            login.serverParametersLearned(answer, answered, refusal);
+            processHeld();
             return;
         }
-        to(ClientState.IDLE);
+        enter(ClientState.IDLE);
         if (answer instanceof FinalAnswer.Served<Answer> s) {
             transactions++;
-            collector.skip(!partly && !had.whole); // it could not begin, and its Sync is still to come
+            collector.skip(!begun && !answered.whole); // it could not begin, and its Sync is still to come
             write(s.answer().frames());
-        } else if (partly) { // no error but the last one tells its client that what follows is another transaction
-            desk.count(had.verdict == Progress.Verdict.UNKNOWN ? "pooling_unknown" : "pooling_broken");
-            end(LostConnection.error("FATAL", had.verdict, "in the midst of a transaction"));
+        } else if (begun) { // no error but the last one tells its client that what follows is another transaction
+            context.count(answered.outcome == Progress.Outcome.UNKNOWN ? "pooling_unknown" : "pooling_broken");
+            end(LostConnection.error("FATAL", answered.outcome, "in the midst of a transaction"));
             return;
         } else if (answer instanceof FinalAnswer.Refused<Answer> r) {
-            desk.count("pooling_refused");
-            reject(had.refusal(r.retryIn(), refusal), had.whole);
+            context.count("pooling_refused");
+            reject(answered.refusal(r.retryIn(), refusal), answered.whole);
         } else if (answer instanceof FinalAnswer.Failed<Answer> f) {
-            desk.count("pooling_failed");
-            reject(had.failure(f.mayHaveRun(), f.why()), had.whole);
+            context.count("pooling_failed");
+            reject(answered.failure(f.mayHaveRun(), f.why()), answered.whole);
         }
-        pump();
+        processHeld();
     }
 
     void write(List<Frame> frames) {
         if (!frames.isEmpty()) {
-            out.write(Frame.join(frames));
+            connection.write(Frame.join(frames));
         }
     }
 
@@ -325,7 +325,7 @@
             return;
         }
         if (lease != null) {
-            pump(); // the cancel follows it to the server
+            processHeld(); // the cancel follows it to the server
         }
         if (opening == null) {
             held.cancelled();
@@ -333,16 +333,16 @@
         }
         Server server = opening.server;
         if (server != null && server.opening() == opening) {
-            desk.cancel(server);
+            context.cancel(server);
             return;
         }
         boolean whole = opening.whole;        // it only waits: that ends here
         opening = null;
-        desk.gone(this);
+        context.withdraw(this);
         request = null;
-        to(ClientState.IDLE);
+        enter(ClientState.IDLE);
         reject("57014", "canceled while it waited", whole);
-        pump();
+        processHeld();
     }
 
     /** Tells the client why, and ends its connection. */
@@ -352,16 +352,16 @@
         if (state == ClientState.LEAVING) {
             return;
         }
-        if (out != null) {
-            out.write(error.wire());
-            out.finish();
+        if (connection != null) {
+            connection.write(error.wire());
+            connection.finish();
         }
-        leave();
+        detach();
     }
 
     /** Between two transactions, with nothing half read. */
     boolean idle() {
-        return state == ClientState.IDLE && held.isEmpty() && collector.isEmpty() && decoder.empty() || lease != null && lease.between()
+        return state == ClientState.IDLE && held.isEmpty() && collector.isEmpty() && decoder.empty() || lease != null && lease.betweenTransactions()
                 && held.isEmpty() && decoder.empty();
     }
 
@@ -371,29 +371,29 @@
         }
     }
 
-    @Override public void ended(String why) { leave(); }
+    @Override public void ended(String why) { detach(); }
 
     @Override public void closed() {
-        leave();
-        desk.closed(this);
+        detach();
+        context.closed(this);
     }
 
-    void leaveAndClose() {
-        leave();
-        out.close();
+    void disconnect() {
+        detach();
+        connection.close();
     }
 
-    private void leave() {
+    private void detach() {
         if (state == ClientState.LEAVING) {
             return;
         }
-        to(ClientState.LEAVING);
+        enter(ClientState.LEAVING);
         held.clear();
         collector.clear();
-        desk.hold(-counted);
-        counted = 0;
+        context.reserveBytes(-accountedBytes);
+        accountedBytes = 0;
         lease = null;
         opening = null;
-        desk.gone(this);
+        context.withdraw(this);
     }
 }
--- a/src/main/java/crankspar/pooling/ClientDesk.java
+++ b/src/main/java/crankspar/pooling/ClientContext.java
@@ -4,7 +4,7 @@
 import org.pcollections.PMap;
 
 /** The front, as its clients see it. */
-interface ClientDesk {
+interface ClientContext {
   Setup setup();
 
   /** A database by its name for clients, or null. */
@@ -16,12 +16,12 @@
   PMap<String, String> reported(ServerKey key);
 
   /** Asks for a place and then the module; the answer comes to the client. */
-  void ask(Client client, Opening opening);
+  void submit(Client client, OpeningBatch opening);
 
   /** Nothing more is owed to it. */
-  void over(Client client);
+  void requestEnded(Client client);
 
-  void gone(Client client);
+  void withdraw(Client client);
 
   void closed(Client client);
 
@@ -30,7 +30,7 @@
   void cancel(Server server);
 
   /** Whether all clients together may hold so many bytes more. */
-  boolean hold(int more);
+  boolean reserveBytes(int more);
 
   boolean draining();
 
@@ -42,5 +42,5 @@
   double now();
 
   /** Runs work behind whatever the sockets hold now: ends and cancels come before it. */
-  void later(Runnable work);
+  void runLater(Runnable work);
 }
--- a/src/main/java/crankspar/pooling/Console.java
+++ b/src/main/java/crankspar/pooling/Console.java
@@ -134,7 +134,7 @@
               text(c.databaseName()),
               text(c.user()),
               text(c.state()).toLowerCase(Locale.ROOT),
-              ms(now - c.since()),
+              ms(now - c.stateSince()),
               text(c.transactions()),
               has ? s.member() : "",
               c.session() == null ? "" : text(c.session().statements()),
--- a/src/main/java/crankspar/pooling/ConsoleSession.java
+++ b/src/main/java/crankspar/pooling/ConsoleSession.java
@@ -8,12 +8,12 @@
   /** The name under which the front itself answers. */
   static final String NAME = "crankspar";
 
-  private final ClientDesk desk;
+  private final ClientContext desk;
 
   /** A message of the extended protocol was refused; nothing is said up to its sync. */
   private boolean skipping;
 
-  ConsoleSession(ClientDesk desk) {
+  ConsoleSession(ClientContext desk) {
     this.desk = desk;
   }
 
--- a/src/main/java/crankspar/pooling/Exchange.java
+++ b/src/main/java/crankspar/pooling/Exchange.java
@@ -1,6 +1,6 @@
 package crankspar.pooling;
 
-import crankspar.pooling.PendingReply.Step;
+import crankspar.pooling.PendingReply.MessageKind;
 import crankspar.pooling.Sql.Kind;
 import crankspar.pooling.Sql.Statement;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
  */
 final class Exchange {
   /** What goes where after one step. */
-  record Moves(List<Frame> toServer, List<Frame> toClient) {}
+  record Output(List<Frame> toServer, List<Frame> toClient) {}
 
   /** A statement of which nothing is known. */
   private static final Statement UNKNOWN = new Statement(Kind.WRITE, "", null, null, false);
@@ -31,7 +31,7 @@
   private final ServerState server;
   private Progress progress;
   private final Setup.Limits limits;
-  private final Set<Pins.Kind> refused;
+  private final Set<Pins.Kind> refusedKinds;
   private final ProjectedOptions projected;
   private final StatementNames names;
   private final PendingReplies replies = new PendingReplies();
@@ -53,7 +53,7 @@
     this.server = server;
     this.progress = progress;
     this.limits = limits;
-    this.refused = refused;
+    this.refusedKinds = refused;
     projected = new ProjectedOptions(client.sessionOptions());
     names =
         new StatementNames(client, server, projected, batch, limits.serverStatements(), this::send);
@@ -66,8 +66,8 @@
   }
 
   /** Whether the client's next messages must wait for the server to be ready. */
-  boolean pausing() {
-    return batch.pausing();
+  boolean awaitingReady() {
+    return batch.awaitingReady();
   }
 
   boolean copying() {
@@ -75,13 +75,13 @@
   }
 
   /** Whether nothing is owed. */
-  boolean quiet() {
+  boolean allRepliesReceived() {
     return replies.isEmpty() && !batch.copying();
   }
 
   /** Whether nothing is owed and both sides are between transactions. */
-  boolean settled() {
-    return quiet() && !inTransaction();
+  boolean betweenTransactions() {
+    return allRepliesReceived() && !inTransaction();
   }
 
   /** Whether a transaction is open: in a block, or in a batch without its Sync. */
@@ -90,8 +90,8 @@
   }
 
   /** Whether the server may still give answers, and to what is not known. */
-  boolean answersInDoubt() {
-    return !quiet() || batch.syncInDoubt();
+  boolean repliesUncertain() {
+    return !allRepliesReceived() || batch.syncUncertain();
   }
 
   /** Whether the server has got a part of a batch, and no Sync behind it. */
@@ -100,7 +100,7 @@
   }
 
   /** Whether an error has been told after which nothing counts up to the client's Sync. */
-  boolean awaitsSync() {
+  boolean skippingToSync() {
     return batch.skipping();
   }
 
@@ -122,13 +122,13 @@
    * Whether the batch that has just failed may be begun again here: all that was wrong is a
    * statement that the server had lost or whose plan no longer fitted, and nothing was executed.
    */
-  boolean again() {
+  boolean retryableAfterLostStatement() {
     return serverReplies.statementLost() && !executed() && status() == 'I';
   }
 
   /** The SQLSTATE of a batch's first error, or null; known until the next batch begins. */
-  String error() {
-    return serverReplies.error();
+  String firstError() {
+    return serverReplies.firstError();
   }
 
   /** Whether any statement of it has been executed, in whole or in part. */
@@ -145,23 +145,23 @@
   }
 
   /** The client keeps its connection and begins another transaction on it. */
-  Progress next() {
+  Progress beginTransaction() {
     progress = new Progress();
-    progress.shown();
-    serverReplies.transaction(progress);
+    progress.answerDelivered();
+    serverReplies.beginTransaction(progress);
     return progress;
   }
 
   /** The next batch begins: what is known of the last one's errors is over. */
-  void batch() {
-    serverReplies.nextBatch();
+  void beginBatch() {
+    serverReplies.beginBatch();
   }
 
   // ---- From the client.
-  Moves fromClient(Frame f) throws Frame.Malformed {
-    begin();
-    if (batch.passesOver(f)) {
-      return moves(); // so would the server, and say nothing
+  Output fromClient(Frame f) throws Frame.Malformed {
+    resetOutput();
+    if (batch.skips(f)) {
+      return output(); // so would the server, and say nothing
     }
     batch.fromClient(f);
     switch (f.type()) {
@@ -171,35 +171,35 @@
       case 'C' -> close(f);
       case 'E' -> execute(f);
       case 'H' -> toServer.add(f);
-      case 'S' -> send(f, PendingReply.to(Step.SYNC, List.of()));
+      case 'S' -> send(f, PendingReply.expect(MessageKind.SYNC, List.of()));
       case 'Q' -> query(f);
       case 'F' -> {
         progress.sending(List.of(UNKNOWN), true);
-        send(f, PendingReply.to(Step.CALL, List.of()));
+        send(f, PendingReply.expect(MessageKind.CALL, List.of()));
       }
       case 'd', Frame.PART -> {
-        if (batch.passesData(f)) {
+        if (batch.forwardsData(f)) {
           toServer.add(f);
         }
       }
       case 'c', 'f' -> {
-        if (batch.passesEndOfData()) {
+        if (batch.forwardsEndOfData()) {
           toServer.add(f);
         }
       }
       default -> throw new Frame.Malformed("message type " + f.type() + " out of turn");
     }
-    return moves();
+    return output();
   }
 
-  private void begin() {
+  private void resetOutput() {
     toServer = new ArrayList<>(4);
     toClient = new ArrayList<>(4);
   }
 
-  private Moves moves() {
+  private Output output() {
     toClient.addAll(replies.takeLocal());
-    return new Moves(toServer, toClient);
+    return new Output(toServer, toClient);
   }
 
   /** A message to the server with the answer that it will have; null where it is spared that. */
@@ -218,12 +218,12 @@
     if (refuse(statement.statements())) {
       return;
     }
-    Prepared taken = client.prepared(name);
+    Prepared existing = client.prepared(name);
     if (name.isEmpty()) {
       names.parseUnnamed(statement);
-    } else if (taken != null) {
-      names.parseTaken(name, taken, statement);
-    } else if (!tooMany(statement.bytes())) {
+    } else if (existing != null) {
+      names.parseTaken(name, existing, statement);
+    } else if (!exceedsStatementLimits(statement.bytes())) {
       names.parseNamed(name, statement);
     }
   }
@@ -233,7 +233,7 @@
     for (Statement s : statements) {
       Statement prepared = s.kind() == Kind.PREPARE ? SqlPrepared.effect(s) : null;
       Pins.Kind kind = Pins.of(prepared == null ? s : prepared);
-      if (kind != null && refused.contains(kind)) {
+      if (kind != null && refusedKinds.contains(kind)) {
         refuse(
             "0A000", kind + " is refused here: it would hold a connection beyond its transaction");
         return true;
@@ -242,7 +242,7 @@
     return false;
   }
 
-  private boolean tooMany(int bytes) {
+  private boolean exceedsStatementLimits(int bytes) {
     boolean over =
         client.statements() >= limits.statements()
             || client.bytes() + bytes > limits.statementBytes();
@@ -270,7 +270,7 @@
     } else {
       send(null, PendingReply.local(error));
     }
-    batch.refused();
+    batch.messageRefused();
   }
 
   private void bind(Frame f) throws Frame.Malformed {
@@ -284,20 +284,20 @@
         onServer.equals(name)
             ? f
             : Frame.body().text(portal).text(onServer).bytes(r.rest()).as('B');
-    send(sent, PendingReply.to(Step.BIND, statement));
+    send(sent, PendingReply.expect(MessageKind.BIND, statement));
   }
 
   private void describe(Frame f) throws Frame.Malformed {
     Frame.Reader r = f.read();
     if (r.code() != 'S') {
-      send(f, PendingReply.to(Step.DESCRIBE_PORTAL, List.of()));
+      send(f, PendingReply.expect(MessageKind.DESCRIBE_PORTAL, List.of()));
       return;
     }
     String name = r.text();
     Prepared statement = client.prepared(name);
     String onServer = names.onServer(name);
     Frame sent = onServer.equals(name) ? f : Frame.body().code('S').text(onServer).as('D');
-    send(sent, PendingReply.to(Step.DESCRIBE_STATEMENT, statement));
+    send(sent, PendingReply.expect(MessageKind.DESCRIBE_STATEMENT, statement));
   }
 
   /** A client's statement is closed here only: others may use what the server has. */
@@ -306,44 +306,48 @@
     boolean ofStatement = r.code() == 'S';
     String name = r.text();
     if (ofStatement && (client.prepared(name) != null || !client.sqlPrepared().containsKey(name))) {
-      Prepared was = client.close(name);
+      Prepared closed = client.close(name);
       Runnable undo =
           () -> {
-            if (was != null) {
-              client.prepare(name, was);
+            if (closed != null) {
+              client.prepare(name, closed);
             }
           };
-      send(null, PendingReply.local(Frame.CLOSE_COMPLETE).undoneAtClient(undo));
+      send(null, PendingReply.local(Frame.CLOSE_COMPLETE).withClientUndo(undo));
       return;
     }
-    List<Statement> undoes = List.of();
+    List<Statement> effects = List.of();
     if (ofStatement) {
-      undoes = List.of(new Statement(Kind.DEALLOCATE, "", name, null, false));
+      effects = List.of(new Statement(Kind.DEALLOCATE, "", name, null, false));
     } else {
       portals.remove(name);
     }
-    send(f, PendingReply.to(Step.CLOSE, undoes));
+    send(f, PendingReply.expect(MessageKind.CLOSE, effects));
   }
 
   private void execute(Frame f) throws Frame.Malformed {
     Portal portal = portals.getOrDefault(f.read().text(), new Portal(List.of()));
     progress.sending(portal.statements(), false);
     executions++;
-    List<Statement> run = client.effects(portal.execute());
-    projected.sent(run, batch.status());
-    send(f, PendingReply.to(Step.EXECUTE, run).undoneAtClient(() -> portal.passedOver(run)));
+    List<Statement> effects = client.effects(portal.execute());
+    projected.sent(effects, batch.status());
+    send(
+        f,
+        PendingReply.expect(MessageKind.EXECUTE, effects)
+            .withClientUndo(() -> portal.passedOver(effects)));
   }
 
   private void query(Frame f) throws Frame.Malformed {
     List<Statement> statements = Sql.split(f.read().text());
-    boolean not = refuse(statements);
+    boolean rejected = refuse(statements);
     for (Statement s : statements) {
-      not = not || s.kind() == Kind.PREPARE && tooMany(sqlPrepared(s).bytes());
+      rejected =
+          rejected || s.kind() == Kind.PREPARE && exceedsStatementLimits(sqlPrepared(s).bytes());
     }
-    if (not) {
-      batch.refusedQuery();
+    if (rejected) {
+      batch.queryRefused();
       if (batch.serverBatchOpen()) {
-        send(Frame.body().as('S'), PendingReply.to(Step.SYNC, List.of()));
+        send(Frame.body().as('S'), PendingReply.expect(MessageKind.SYNC, List.of()));
       } else {
         send(null, PendingReply.local(Frame.ready(batch.status())));
       }
@@ -359,11 +363,12 @@
       // The server knows it under another name, and others use it there.
       send(
           Frame.query(""),
-          PendingReply.to(Step.QUERY, statements).answeredAs(Frame.complete("DEALLOCATE")));
+          PendingReply.expect(MessageKind.QUERY, statements)
+              .withAnswer(Frame.complete("DEALLOCATE")));
       return;
     }
     progress.sending(statements, true);
-    send(f, PendingReply.to(Step.QUERY, statements));
+    send(f, PendingReply.expect(MessageKind.QUERY, statements));
   }
 
   private SqlPrepared sqlPrepared(Statement prepare) {
@@ -375,12 +380,12 @@
    * Steps with one of its frames; one that nothing asked for is malformed, and the connection of no
    * more use.
    */
-  Moves fromServer(Frame f) throws Frame.Malformed {
-    begin();
-    serverReplies.take(f, toClient);
+  Output fromServer(Frame f) throws Frame.Malformed {
+    resetOutput();
+    serverReplies.receive(f, toClient);
     if (f.type() == 'Z' && batch.status() == 'I') {
       portals.clear();
     }
-    return moves();
+    return output();
   }
 }
--- a/src/main/java/crankspar/pooling/HeldFrames.java
+++ b/src/main/java/crankspar/pooling/FrameQueue.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /** What a client has sent and what waits for its turn, in order. */
-final class HeldFrames {
+final class FrameQueue {
   private final ArrayDeque<Frame> frames = new ArrayDeque<>(2);
   private int bytes;
 
   /** So many came before a cancel that the first statement among them is to hear of. */
-  private int beforeCancel;
+  private int framesBeforeCancel;
 
   void add(Frame frame) {
     frames.add(frame);
@@ -45,18 +45,18 @@
 
   /** A cancel has come for what is held now. */
   void cancelled() {
-    beforeCancel = frames.size();
+    framesBeforeCancel = frames.size();
   }
 
   /** What was polled last is dealt with. */
-  void passed() {
-    beforeCancel = Math.max(0, beforeCancel - 1);
+  void frameProcessed() {
+    framesBeforeCancel = Math.max(0, framesBeforeCancel - 1);
   }
 
   /** Whether a cancel came for the statement that is opened now; it counts once. */
   boolean takeCancel() {
-    boolean came = beforeCancel > 0;
-    beforeCancel = 0;
+    boolean came = framesBeforeCancel > 0;
+    framesBeforeCancel = 0;
     return came;
   }
 
--- a/src/main/java/crankspar/pooling/Lease.java
+++ b/src/main/java/crankspar/pooling/Lease.java
@@ -17,10 +17,10 @@
   /**
    * An answer up to this (bytes) is held until it is whole; of a longer one the client gets all.
    */
-  private static final int HELD_MOST = 64 * 1024;
+  private static final int MAX_HELD_BYTES = 64 * 1024;
 
   private final Server server;
-  private final Opening opening;
+  private final OpeningBatch opening;
   private final Exchange exchange;
 
   /** The latest time at which it may begin (ms); a bounded read's data ages meanwhile. */
@@ -32,19 +32,22 @@
   private int heldBytes;
 
   /** Whether it is its client's until the transaction's end: something of its answer was shown. */
-  private boolean kept;
+  private boolean bound;
 
   /** Whether its batch was begun again for a lost statement: that happens once. */
-  private boolean begunAgain;
+  private boolean restarted;
 
   /** Whether nobody knows which of SQL's statements the connection has. */
-  private boolean statementsInDoubt;
+  private boolean sqlStatementsUncertain;
 
   private double transactionSince;
   private double lastMessageAt;
 
   Lease(
-      Server server, Opening opening, double latestStart, Ports.AttemptListener<Answer> listener) {
+      Server server,
+      OpeningBatch opening,
+      double latestStart,
+      Ports.AttemptListener<Answer> listener) {
     this.server = server;
     this.opening = opening;
     this.latestStart = latestStart;
@@ -58,12 +61,12 @@
             server.pool().refused());
   }
 
-  Opening opening() {
+  OpeningBatch opening() {
     return opening;
   }
 
-  boolean kept() {
-    return kept;
+  boolean bound() {
+    return bound;
   }
 
   char status() {
@@ -81,29 +84,29 @@
   }
 
   /** Since when its client owes the next message of an open transaction (ms), or infinity. */
-  double quietSince() {
-    return kept && exchange.quiet() && exchange.inTransaction()
+  double idleInTransactionSince() {
+    return bound && exchange.allRepliesReceived() && exchange.inTransaction()
         ? lastMessageAt
         : Double.POSITIVE_INFINITY;
   }
 
   /** Whether its client's next messages must wait. */
-  boolean pausing() {
-    return exchange.pausing();
+  boolean awaitingReady() {
+    return exchange.awaitingReady();
   }
 
   /** Whether the server is read: not while what it gives has nowhere to go. */
-  void readServer(boolean on) {
+  void setServerReading(boolean on) {
     server.reading(on);
   }
 
   /** Whether it is between two transactions of the client that keeps it. */
-  boolean between() {
-    return kept && exchange.settled();
+  boolean betweenTransactions() {
+    return bound && exchange.betweenTransactions();
   }
 
   /** Whether it is left to its client beyond a transaction. */
-  private boolean ofSession() {
+  private boolean outlivesTransaction() {
     return opening.mode == Setup.Mode.SESSION || !opening.client.session().pins().none();
   }
 
@@ -114,7 +117,7 @@
   // ---- From the client.
   /** The connection is up and in its client's state. */
   void start() {
-    if (opening.empty()) {
+    if (opening.isEmpty()) {
       server.finish(new AttemptEnd.Served<>(new Answer(List.of(), this), note()));
       return;
     }
@@ -128,16 +131,16 @@
       server.finish(
           new AttemptEnd.Broken<>(Reach.NOT_CONNECTED, "the connection was ready too late"));
     } else {
-      tellParameters();
+      queueChangedParameters();
       forward(opening.frames);
-      if (active() && !kept && !opening.whole) {
-        keep(Note.NONE);
+      if (active() && !bound && !opening.whole) {
+        bindToClient(Note.NONE);
       }
     }
   }
 
   /** What this server reports and the client has not heard, or heard otherwise from another. */
-  private void tellParameters() {
+  private void queueChangedParameters() {
     SessionState client = opening.client.session();
     ServerState state = server.sessionState();
     if (client.told() == state.reported()) {
@@ -148,13 +151,13 @@
         .forEach(
             (name, value) -> {
               if (!ServerNotes.NAMES.contains(name) && !value.equals(client.told().get(name))) {
-                hold(Frame.parameter(name, value));
+                holdBack(Frame.parameter(name, value));
               }
             });
     client.told(state.reported());
   }
 
-  private void hold(Frame f) {
+  private void holdBack(Frame f) {
     held.add(f);
     heldBytes += f.size();
   }
@@ -173,7 +176,7 @@
     long underOtherOptions = exchange.preparedUnderOtherOptions();
     try {
       for (Frame f : frames) {
-        Exchange.Moves moves = exchange.fromClient(f);
+        Exchange.Output moves = exchange.fromClient(f);
         toServer.addAll(moves.toServer());
         toClient.addAll(moves.toClient());
         ends |= f.endsBatch();
@@ -192,24 +195,28 @@
       write(toServer, ends);
     }
     deliver(toClient);
-    boolean local = toServer.isEmpty() && active() && exchange.settled() && !exchange.pausing();
+    boolean local =
+        toServer.isEmpty()
+            && active()
+            && exchange.betweenTransactions()
+            && !exchange.awaitingReady();
     if (local && (ends || !opening.whole)) {
       ready(); // nothing of it was for the server
     }
-    showErrorBeforeSync();
+    deliverErrorBeforeSync();
   }
 
   private void write(List<Frame> frames, boolean endsBatch) {
-    Progress mine = progress;
-    Ports.AttemptListener<Answer> told = kept ? null : listener;
+    Progress transactionProgress = progress;
+    Ports.AttemptListener<Answer> attemptListener = bound ? null : listener;
     server.writeForClient(
         Frame.join(frames),
         () -> {
           if (endsBatch) {
-            mine.sent();
+            transactionProgress.batchSent();
           }
-          if (told != null) {
-            told.written();
+          if (attemptListener != null) {
+            attemptListener.written();
           }
         });
   }
@@ -218,9 +225,9 @@
    * After an error nothing more comes from the server until its client, who has to hear of it
    * first, sends a Sync.
    */
-  private void showErrorBeforeSync() {
-    if (active() && !kept && exchange.awaitsSync()) {
-      keep(Note.NONE);
+  private void deliverErrorBeforeSync() {
+    if (active() && !bound && exchange.skippingToSync()) {
+      bindToClient(Note.NONE);
     }
   }
 
@@ -228,23 +235,23 @@
     if (frames.isEmpty()) {
       return;
     }
-    if (kept) {
+    if (bound) {
       opening.client.fromServer(frames);
       return;
     }
-    frames.forEach(this::hold);
-    if (heldBytes > HELD_MOST || exchange.copying()) {
-      keep(Note.NONE);
+    frames.forEach(this::holdBack);
+    if (heldBytes > MAX_HELD_BYTES || exchange.copying()) {
+      bindToClient(Note.NONE);
     }
   }
 
   /** From here on it is its client's: what has come is shown, and nothing is sent elsewhere. */
-  private void keep(Note note) {
-    kept = true;
-    progress.shown();
-    List<Frame> shown = held;
+  private void bindToClient(Note note) {
+    bound = true;
+    progress.answerDelivered();
+    List<Frame> delivered = held;
     held = new ArrayList<>(0);
-    if (!listener.held(new Answer(shown, this), note) && active()) {
+    if (!listener.held(new Answer(delivered, this), note) && active()) {
       server.fail("nobody waits for it any more");
     }
   }
@@ -252,11 +259,11 @@
   // ---- From the server.
   void fromServer(Frame f) throws Frame.Malformed {
     lastMessageAt = server.pool().now();
-    boolean copying = exchange.copying();
+    boolean wasCopying = exchange.copying();
     deliver(exchange.fromServer(f).toClient());
-    showErrorBeforeSync();
-    if (!copying && exchange.copying() && active()) {
-      opening.client.goOn(); // what waited for the answer may be its data
+    deliverErrorBeforeSync();
+    if (!wasCopying && exchange.copying() && active()) {
+      opening.client.resume(); // what waited for the answer may be its data
     }
     if (f.type() == 'Z' && active()) {
       ready();
@@ -265,54 +272,57 @@
 
   /** The server is ready: a batch has ended, and perhaps the transaction. */
   private void ready() {
-    boolean over = exchange.status() == 'I';
+    boolean transactionOver = exchange.status() == 'I';
     SessionState client = opening.client.session();
-    if (over && progress.writes()) {
+    if (transactionOver && progress.writes()) {
       double position = server.notes().position();
       client.committedAt(Double.isNaN(position) ? server.pool().now() : position);
     }
-    if (!kept && over && beginAgain()) {
+    if (!bound && transactionOver && restartBatch()) {
       return;
     }
-    AttemptEnd<Answer> refusal = kept ? null : MemberRefusal.of(opening, exchange, note());
+    AttemptEnd<Answer> refusal = bound ? null : MemberRefusal.of(opening, exchange, note());
     if (refusal != null) {
-      held.stream().filter(f -> f.type() == 'E').findFirst().ifPresent(f -> opening.said = f);
+      held.stream()
+          .filter(f -> f.type() == 'E')
+          .findFirst()
+          .ifPresent(f -> opening.serverError = f);
       exchange.rewind();
       server.finish(refusal);
-    } else if (over && exchange.settled() && !ofSession()) {
+    } else if (transactionOver && exchange.betweenTransactions() && !outlivesTransaction()) {
       server.finish(new AttemptEnd.Served<>(new Answer(held, this), note()));
     } else {
-      goOn(over);
+      continueSession(transactionOver);
     }
   }
 
   /** Its client has the connection for more: the rest of a block, or of a session. */
-  private void goOn(boolean transactionOver) {
-    exchange.batch();
+  private void continueSession(boolean transactionOver) {
+    exchange.beginBatch();
     if (transactionOver) {
-      progress = exchange.next();
+      progress = exchange.beginTransaction();
     }
-    if (!kept) {
-      keep(note());
+    if (!bound) {
+      bindToClient(note());
     }
     if (active() && transactionOver && server.isClosing()) {
       opening.client.fatal("57P01", "the server of this session drains");
     } else if (active()) {
-      opening.client.goOn();
+      opening.client.resume();
     }
   }
 
   /** A statement that the server had lost is prepared once more, and the batch begun again. */
-  private boolean beginAgain() {
-    if (begunAgain || !opening.whole || !exchange.again()) {
+  private boolean restartBatch() {
+    if (restarted || !opening.whole || !exchange.retryableAfterLostStatement()) {
       return false;
     }
-    begunAgain = true;
+    restarted = true;
     server.pool().count("pooling_statements_lost", 1);
     exchange.rewind();
     held.clear();
     heldBytes = 0;
-    exchange.batch();
+    exchange.beginBatch();
     forward(opening.frames);
     return true;
   }
@@ -322,11 +332,11 @@
    * are as before, but statements of SQL's are prepared and deallocated without regard to
    * transactions.
    */
-  void carryFailed(Frame error) {
-    statementsInDoubt =
+  void restoreFailed(Frame error) {
+    sqlStatementsUncertain =
         !server.sessionState().sqlPrepared().equals(opening.client.session().sqlPrepared());
-    List<Frame> said = opening.whole ? List.of(error, Frame.ready('I')) : List.of(error);
-    server.finish(new AttemptEnd.Served<>(new Answer(said, this), note()));
+    List<Frame> reply = opening.whole ? List.of(error, Frame.ready('I')) : List.of(error);
+    server.finish(new AttemptEnd.Served<>(new Answer(reply, this), note()));
   }
 
   private Note note() {
@@ -335,12 +345,12 @@
 
   // ---- Its end.
   /** How its connection is left where it ends now; {@code clientLeft} where its session ends. */
-  Release.Condition condition(boolean clientLeft, boolean unwanted, int cancelsPending) {
+  Release.Condition releaseCondition(boolean clientLeft, boolean unwanted, int cancelsPending) {
     return new Release.Condition(
-        exchange.answersInDoubt(),
+        exchange.repliesUncertain(),
         exchange.serverBatchOpen(),
         exchange.status(),
-        statementsInDoubt || clientLeft && ofSession(),
+        sqlStatementsUncertain || clientLeft && outlivesTransaction(),
         opening.client.session().pins().kinds().contains(Pins.Kind.LOAD),
         unwanted,
         cancelsPending);
@@ -351,7 +361,7 @@
     return switch (state) {
       case CARRYING -> Reach.PARTLY_WRITTEN;
       case ACTIVE ->
-          progress.verdict() == Progress.Verdict.ELSEWHERE && !progress.executed()
+          progress.outcome() == Progress.Outcome.RETRYABLE && !progress.executed()
               ? Reach.PARTLY_WRITTEN
               : Reach.WHOLLY_WRITTEN;
       default -> Reach.NOT_CONNECTED;
@@ -360,16 +370,16 @@
 
   /** Nobody hears of it any more: its client has gone, or the core has given it up. */
   void abandon() {
-    if (kept && exchange.serverBatchOpen()) {
+    if (bound && exchange.serverBatchOpen()) {
       server.pool().count("pooling_batches_cut_off", 1);
     }
-    opening.verdict = progress.verdict();
+    opening.outcome = progress.outcome();
     listener = null;
   }
 
   /** Its connection is lost; {@code begun} once that was in its client's state. */
-  void lost(boolean begun) {
-    opening.verdict = begun ? progress.verdict() : Progress.Verdict.ELSEWHERE;
+  void connectionLost(boolean begun) {
+    opening.outcome = begun ? progress.outcome() : Progress.Outcome.RETRYABLE;
     exchange.rewind();
     if (begun) {
       opening.client.session().lost();
@@ -377,11 +387,11 @@
   }
 
   /** Tells the attempt's end, once. */
-  void tell(AttemptEnd<Answer> end) {
-    Ports.AttemptListener<Answer> told = listener;
+  void reportEnd(AttemptEnd<Answer> end) {
+    Ports.AttemptListener<Answer> endListener = listener;
     listener = null;
-    if (told != null) {
-      told.ended(end);
+    if (endListener != null) {
+      endListener.ended(end);
     }
   }
 }
--- a/src/main/java/crankspar/pooling/Login.java
+++ b/src/main/java/crankspar/pooling/Login.java
@@ -12,33 +12,33 @@
 
 /** How a client starts: it asks for encryption, brings a cancel, or logs in and is welcomed. */
 final class Login {
-  private static final int ENCRYPTION_ASKS_MOST = 2;
-  private static final int PROTOCOL = 3;
+  private static final int MAX_ENCRYPTION_REQUESTS = 2;
+  private static final int PROTOCOL_MAJOR = 3;
   private static final int MAJOR_SHIFT = 16;
   private static final int MINOR_MASK = 0xffff;
 
   /** What the console tells of itself. */
-  private static final PMap<String, String> CONSOLE_REPORTS =
+  private static final PMap<String, String> CONSOLE_PARAMETERS =
       HashTreePMap.<String, String>empty()
           .plus("server_version", "14.0 (crankspar)")
           .plus("client_encoding", "UTF8")
           .plus("standard_conforming_strings", "on");
 
   private final Client client;
-  private final ClientDesk desk;
-  private int encryptionAsks;
+  private final ClientContext context;
+  private int encryptionRequests;
 
   /** The start of a client that waits until a server has told what it is welcomed with. */
-  private Map<String, String> pending;
+  private Map<String, String> pendingParameters;
 
-  Login(Client client, ClientDesk desk) {
+  Login(Client client, ClientContext desk) {
     this.client = client;
-    this.desk = desk;
+    this.context = desk;
   }
 
   void take(Frame f) throws Frame.Malformed {
     if (f.type() == Frame.ENCRYPTION) {
-      if (++encryptionAsks > ENCRYPTION_ASKS_MOST) {
+      if (++encryptionRequests > MAX_ENCRYPTION_REQUESTS) {
         throw new Frame.Malformed("encryption is asked for again and again");
       }
       client.refuseEncryption();
@@ -49,13 +49,13 @@
     if (f.type() == Frame.CANCEL) {
       int process = r.int32();
       int secret = r.int32();
-      desk.cancel(process, secret);
-      client.leaveAndClose();
+      context.cancel(process, secret);
+      client.disconnect();
       return;
     }
     int major = code >>> MAJOR_SHIFT;
     int minor = code & MINOR_MASK;
-    if (major != PROTOCOL) {
+    if (major != PROTOCOL_MAJOR) {
       throw new Frame.Malformed("protocol " + major + "." + minor + " is not spoken here");
     }
     var parameters = new LinkedHashMap<String, String>();
@@ -70,7 +70,7 @@
   private void negotiate(int minor, Map<String, String> parameters) {
     List<String> unknown = parameters.keySet().stream().filter(n -> n.startsWith("_pq_.")).toList();
     if (minor > 0 || !unknown.isEmpty()) {
-      Frame.Body b = Frame.body().int32(PROTOCOL << MAJOR_SHIFT).int32(unknown.size());
+      Frame.Body b = Frame.body().int32(PROTOCOL_MAJOR << MAJOR_SHIFT).int32(unknown.size());
       unknown.forEach(b::text);
       client.write(List.of(b.as('v')));
     }
@@ -79,17 +79,17 @@
   private void login(Map<String, String> parameters) {
     String user = parameters.getOrDefault("user", "");
     String name = parameters.getOrDefault("database", user);
-    client.named(user, name);
+    client.identified(user, name);
     Setup.Database database = client.database();
     if (user.isEmpty()) {
       client.fatal("28000", "no user is named");
-    } else if (desk.draining()) {
+    } else if (context.draining()) {
       client.fatal("57P03", "this pooler takes no new clients now");
     } else if (asksForReplication(parameters)) {
       client.fatal("0A000", "replication is not pooled");
     } else if (database == null && name.equals(ConsoleSession.NAME)) {
-      client.console(new ConsoleSession(desk));
-      welcome(CONSOLE_REPORTS, parameters);
+      client.console(new ConsoleSession(context));
+      completeLogin(CONSOLE_PARAMETERS, parameters);
     } else if (database == null) {
       client.fatal("3D000", "database \"" + name + "\" is not set up here");
     } else if (!database.takes(user)) {
@@ -107,40 +107,41 @@
   private void start(Setup.Database database, String user, Map<String, String> parameters) {
     var key = new ServerKey(database.name(), database.serverName(), user);
     client.session(SessionState.of(parameters), key);
-    PMap<String, String> reported = desk.reported(key);
+    PMap<String, String> reported = context.reported(key);
     if (reported != null) {
-      welcome(reported, parameters);
+      completeLogin(reported, parameters);
     } else {
-      learn(database, user, parameters);
+      learnServerParameters(database, user, parameters);
     }
   }
 
   /** The first client of a key waits until a server has told what clients are welcomed with. */
-  private void learn(Setup.Database database, String user, Map<String, String> parameters) {
+  private void learnServerParameters(
+      Setup.Database database, String user, Map<String, String> parameters) {
     try {
-      Route.Way way = desk.route().way(database.as(user), "", List.of(), client.session());
-      pending = parameters;
-      client.ask(new Opening(client, List.of(), true, way, false, Setup.Mode.TRANSACTION));
+      Route.Way way = context.route().way(database.as(user), "", List.of(), client.session());
+      pendingParameters = parameters;
+      client.submit(new OpeningBatch(client, List.of(), true, way, false, Setup.Mode.TRANSACTION));
     } catch (Route.Refused e) {
       client.fatal(e.code, e.getMessage());
     }
   }
 
   /** What a server had to say, for the client that waits for it. */
-  void learned(FinalAnswer<Answer> answer, Opening had, String refusal) {
-    PMap<String, String> reported = desk.reported(client.key());
+  void serverParametersLearned(FinalAnswer<Answer> answer, OpeningBatch batch, String refusal) {
+    PMap<String, String> reported = context.reported(client.key());
     if (answer instanceof FinalAnswer.Served<Answer> && reported != null) {
-      welcome(reported, pending);
-      pending = null;
-    } else if (had.said != null) {
-      client.end(had.said);
+      completeLogin(reported, pendingParameters);
+      pendingParameters = null;
+    } else if (batch.serverError != null) {
+      client.end(batch.serverError);
     } else {
       client.fatal("57P03", "no server is to be had: " + refusal);
     }
   }
 
   /** What it has asked for counts as told: its own time zone, say, in its own words. */
-  private void welcome(PMap<String, String> reported, Map<String, String> asked) {
+  private void completeLogin(PMap<String, String> reported, Map<String, String> asked) {
     var frames = new ArrayList<Frame>();
     frames.add(Frame.body().int32(0).as('R'));
     var own = new HashMap<String, String>();
@@ -156,7 +157,7 @@
     client.session().told(told);
     frames.add(Frame.body().int32(client.process()).int32(client.secret()).as('K'));
     frames.add(Frame.ready('I'));
-    client.welcomed(frames);
-    desk.count("pooling_logins");
+    client.loggedIn(frames);
+    context.count("pooling_logins");
   }
 }
--- a/src/main/java/crankspar/pooling/LostConnection.java
+++ b/src/main/java/crankspar/pooling/LostConnection.java
@@ -4,9 +4,9 @@
 final class LostConnection {
   private LostConnection() {}
 
-  static Frame error(String severity, Progress.Verdict verdict, String why) {
+  static Frame error(String severity, Progress.Outcome verdict, String why) {
     String message = "the connection to the server was lost: " + why;
-    return verdict == Progress.Verdict.UNKNOWN
+    return verdict == Progress.Outcome.UNKNOWN
         ? Frame.error(
             severity,
             "08007",
--- a/src/main/java/crankspar/pooling/MemberRefusal.java
+++ b/src/main/java/crankspar/pooling/MemberRefusal.java
@@ -10,10 +10,10 @@
   /**
    * SQLSTATEs of a member that cannot serve it: a read-only one, or one with too old a snapshot.
    */
-  private static final Set<String> MISSED = Set.of("25006", "72000");
+  private static final Set<String> CANNOT_SERVE = Set.of("25006", "72000");
 
   /** SQLSTATEs of a member that takes nothing now. */
-  private static final Set<String> TURNED_AWAY = Set.of("53300", "57P03");
+  private static final Set<String> NOT_ACCEPTING = Set.of("53300", "57P03");
 
   /** SQLSTATE of an error within the server itself. */
   private static final String INTERNAL_ERROR = "XX000";
@@ -21,21 +21,21 @@
   private MemberRefusal() {}
 
   /** How the attempt ends where the batch's answer is such an error, else null. */
-  static AttemptEnd<Answer> of(Opening opening, Exchange exchange, Note note) {
+  static AttemptEnd<Answer> of(OpeningBatch opening, Exchange exchange, Note note) {
     boolean write = opening.way.write();
     boolean blockAtReplica =
         opening.onlyBegin && note.role() == Role.REPLICA && exchange.status() == 'T';
     if (write && blockAtReplica) {
       return new AttemptEnd.Missed<>(note);
     }
-    String error = exchange.error();
+    String error = exchange.firstError();
     if (error == null || exchange.executed() || exchange.status() != 'I') {
       return null;
     }
-    if (MISSED.contains(error)) {
+    if (CANNOT_SERVE.contains(error)) {
       return new AttemptEnd.Missed<>(note);
     }
-    if (TURNED_AWAY.contains(error)) {
+    if (NOT_ACCEPTING.contains(error)) {
       return new AttemptEnd.TurnedAway<>(note);
     }
     return error.equals(INTERNAL_ERROR) && !write ? new AttemptEnd.Erred<>(note, error) : null;
--- a/src/main/java/crankspar/pooling/Opening.java
+++ b/src/main/java/crankspar/pooling/OpeningBatch.java
@@ -7,7 +7,7 @@
  * ends a batch. Until something of the answer has gone to the client they may be sent to another
  * member, as they are.
  */
-final class Opening {
+final class OpeningBatch {
   final Client client;
   final List<Frame> frames;
 
@@ -26,14 +26,14 @@
   Server server;
 
   /** How far it had come where its connection broke. */
-  Progress.Verdict verdict = Progress.Verdict.ELSEWHERE;
+  Progress.Outcome outcome = Progress.Outcome.RETRYABLE;
 
   /**
    * What a server said that had it end, for its client to hear if nothing better follows; or null.
    */
-  Frame said;
+  Frame serverError;
 
-  Opening(
+  OpeningBatch(
       Client client,
       List<Frame> frames,
       boolean whole,
@@ -49,14 +49,14 @@
   }
 
   /** One that asks for nothing: it only learns what servers report of themselves. */
-  boolean empty() {
+  boolean isEmpty() {
     return frames.isEmpty();
   }
 
   /** What its client hears where it was refused, with a time (ms) to come back at or nought. */
   Frame refusal(double retryIn, String why) {
-    if (said != null && retryIn == 0) {
-      return said;
+    if (serverError != null && retryIn == 0) {
+      return serverError;
     }
     String detail = retryIn > 0 ? Long.toString(Math.round(retryIn)) : null;
     return Frame.error("ERROR", "53300", why, detail);
@@ -64,7 +64,9 @@
 
   /** What its client hears where it failed. */
   Frame failure(boolean mayHaveRun, String why) {
-    boolean unknown = mayHaveRun && verdict == Progress.Verdict.UNKNOWN;
-    return unknown || said == null ? LostConnection.error("ERROR", verdict, why) : said;
+    boolean unknown = mayHaveRun && outcome == Progress.Outcome.UNKNOWN;
+    return unknown || serverError == null
+        ? LostConnection.error("ERROR", outcome, why)
+        : serverError;
   }
 }
--- a/src/main/java/crankspar/pooling/OptionsChange.java
+++ b/src/main/java/crankspar/pooling/OptionsChange.java
@@ -19,16 +19,16 @@
     PMap<String, String> parse = under.values();
     PMap<String, String> all = present.statementOptions().values();
     PMap<String, String> session = StatementOptions.of(present.session()).values();
-    var after = new ArrayList<String>(Carry.changes(parse, session));
+    var after = new ArrayList<String>(StateDiff.optionChanges(parse, session));
     for (Map.Entry<String, String> e : new TreeMap<>(present.local()).entrySet()) {
       String name = e.getKey();
       boolean counts = all.containsKey(name);
       boolean touched =
           !e.getValue().equals(parse.get(name)) || !e.getValue().equals(session.get(name));
       if (counts && touched) {
-        after.add(Carry.setLocal(name, e.getValue()));
+        after.add(StateDiff.setLocal(name, e.getValue()));
       }
     }
-    return new OptionsChange(Carry.changes(all, parse), after);
+    return new OptionsChange(StateDiff.optionChanges(all, parse), after);
   }
 }
--- a/src/main/java/crankspar/pooling/PendingReplies.java
+++ b/src/main/java/crankspar/pooling/PendingReplies.java
@@ -1,6 +1,6 @@
 package crankspar.pooling;
 
-import crankspar.pooling.PendingReply.Step;
+import crankspar.pooling.PendingReply.MessageKind;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -35,22 +35,22 @@
   }
 
   /** The next one has had its whole answer. */
-  PendingReply answered() {
+  PendingReply complete() {
     PendingReply reply = pending.poll();
     answered.add(reply);
     return reply;
   }
 
   /** Takes the end of a batch off; it is not begun again with the batch. */
-  void ready() {
+  void removeBatchEnd() {
     pending.poll();
   }
 
   /** Takes off the Sync that stands right behind the next one; whether there was one. */
-  boolean ignoreSyncBehind() {
+  boolean removeFollowingSync() {
     var inOrder = pending.iterator();
     inOrder.next();
-    boolean sync = inOrder.hasNext() && inOrder.next().step() == Step.SYNC;
+    boolean sync = inOrder.hasNext() && inOrder.next().kind() == MessageKind.SYNC;
     if (sync) {
       inOrder.remove();
     }
@@ -59,12 +59,12 @@
 
   /** What was spared the server and is now to be said. */
   List<Frame> takeLocal() {
-    if (pending.isEmpty() || pending.peek().step() != Step.LOCAL) {
+    if (pending.isEmpty() || pending.peek().kind() != MessageKind.LOCAL) {
       return List.of();
     }
     var frames = new ArrayList<Frame>(2);
-    while (!pending.isEmpty() && pending.peek().step() == Step.LOCAL) {
-      frames.add(answered().answer());
+    while (!pending.isEmpty() && pending.peek().kind() == MessageKind.LOCAL) {
+      frames.add(complete().answer());
     }
     return frames;
   }
@@ -73,9 +73,9 @@
    * After an error in the extended protocol the server passes over everything up to the Sync; all
    * that is undone, the last first.
    */
-  void passOver() {
+  void skipToSync() {
     var passedOver = new ArrayList<PendingReply>();
-    while (!pending.isEmpty() && pending.peek().step() != Step.SYNC) {
+    while (!pending.isEmpty() && pending.peek().kind() != MessageKind.SYNC) {
       passedOver.add(pending.poll());
     }
     for (int i = passedOver.size() - 1; i >= 0; i--) {
@@ -96,7 +96,7 @@
   }
 
   /** The next batch begins. */
-  void batch() {
+  void beginBatch() {
     answered.clear();
   }
 }
--- a/src/main/java/crankspar/pooling/PendingReply.java
+++ b/src/main/java/crankspar/pooling/PendingReply.java
@@ -13,7 +13,7 @@
  * @param answer what the client hears in place of the server's answer, or null
  */
 record PendingReply(
-    Step step,
+    MessageKind kind,
     List<Statement> statements,
     Prepared prepared,
     Frame answer,
@@ -21,7 +21,7 @@
     Runnable undoAtServer) {
 
   /** The kind of message. */
-  enum Step {
+  enum MessageKind {
     PARSE,
     BIND,
     DESCRIBE_STATEMENT,
@@ -62,12 +62,12 @@
 
   private static void nothing() {}
 
-  static PendingReply to(Step step, Prepared prepared) {
+  static PendingReply expect(MessageKind step, Prepared prepared) {
     return new PendingReply(
         step, List.of(), prepared, null, PendingReply::nothing, PendingReply::nothing);
   }
 
-  static PendingReply to(Step step, List<Statement> statements) {
+  static PendingReply expect(MessageKind step, List<Statement> statements) {
     return new PendingReply(
         step, statements, null, null, PendingReply::nothing, PendingReply::nothing);
   }
@@ -75,24 +75,24 @@
   /** One of the pooler's own, about this statement. */
   static PendingReply internal(Prepared prepared, Runnable undoAtServer) {
     return new PendingReply(
-        Step.INTERNAL, List.of(), prepared, null, PendingReply::nothing, undoAtServer);
+        MessageKind.INTERNAL, List.of(), prepared, null, PendingReply::nothing, undoAtServer);
   }
 
   /** An answer that needs no server. */
   static PendingReply local(Frame answer) {
     return new PendingReply(
-        Step.LOCAL, List.of(), null, answer, PendingReply::nothing, PendingReply::nothing);
+        MessageKind.LOCAL, List.of(), null, answer, PendingReply::nothing, PendingReply::nothing);
   }
 
-  PendingReply answeredAs(Frame frame) {
-    return new PendingReply(step, statements, prepared, frame, undoAtClient, undoAtServer);
+  PendingReply withAnswer(Frame frame) {
+    return new PendingReply(kind, statements, prepared, frame, undoAtClient, undoAtServer);
   }
 
-  PendingReply undoneAtClient(Runnable undo) {
-    return new PendingReply(step, statements, prepared, answer, undo, undoAtServer);
+  PendingReply withClientUndo(Runnable undo) {
+    return new PendingReply(kind, statements, prepared, answer, undo, undoAtServer);
   }
 
-  PendingReply undoneAtServer(Runnable undo) {
-    return new PendingReply(step, statements, prepared, answer, undoAtClient, undo);
+  PendingReply withServerUndo(Runnable undo) {
+    return new PendingReply(kind, statements, prepared, answer, undoAtClient, undo);
   }
 }
--- a/src/main/java/crankspar/pooling/PoolingFront.java
+++ b/src/main/java/crankspar/pooling/PoolingFront.java
@@ -31,14 +31,14 @@
  * The pooling front: its clients, their turns, and the requests that their transactions are. What becomes of a request
  * the module decides, under the same rules as on every front.
  */
-public final class PoolingFront implements Front, ClientDesk {
+public final class PoolingFront implements Front, ClientContext {
     private static final double SWEEP = 50;
     private static final double REOPEN = 50;
 
     private final EventLoop loop;
     private final Counters counters;
     private final Route route;
-    private final Pooler<Opening, Answer> pooler;
+    private final Pooler<OpeningBatch, Answer> pooler;
     private final Servers servers;
     private final Console console = new Console(this);
     private final SecureRandom secrets = new SecureRandom();
@@ -55,7 +55,7 @@
     private long held;
     private boolean draining, stopping;
 
-    private PoolingFront(EventLoop loop, Router.Settings settings, Counters counters, Pooler<Opening, Answer> pooler,
+    private PoolingFront(EventLoop loop, Router.Settings settings, Counters counters, Pooler<OpeningBatch, Answer> pooler,
                          Servers servers, Setup setup) {
         this.loop = loop;
         this.counters = counters;
@@ -139,18 +139,18 @@
     @Override public boolean draining() { return draining; }
     @Override public void count(String name) { counters.add(name); }
     @Override public double now() { return loop.now(); }
-    @Override public void later(Runnable work) { loop.run(work); }
+    @Override public void runLater(Runnable work) { loop.run(work); }
     @Override public List<Frame> console(String sql) { return console.answer(sql); }
 
-    @Override public boolean hold(int more) {
+    @Override public boolean reserveBytes(int more) {
         held += more;
         return more <= 0 || held <= setup.limits().buffers();
     }
 
-    @Override public void ask(Client client, Opening opening) {
+    @Override public void submit(Client client, OpeningBatch opening) {
         client.ticket = ++nextTicket;
         tickets.put(client.ticket, client);
-        double deadline = client.askedAt() + opening.way.ttl();
+        double deadline = client.requestedAt() + opening.way.ttl();
         effects(places.get(client.databaseName()).ask(loop.now(), client.user(), client.ticket, deadline));
     }
 
@@ -164,7 +164,7 @@
                 tickets.remove(e.ticket());
                 client.ticket = 0;
                 counters.add("pooling_waits_over");
-                client.refused(r.why());
+                client.placeRefused(r.why());
             } else if (e instanceof Places.Effect.Granted) {
                 take(client);
             }
@@ -172,15 +172,15 @@
     }
 
     private void take(Client client) {
-        Opening opening = client.opening();
+        OpeningBatch opening = client.opening();
         Route.Way way = opening.way;
-        client.placed();
-        var ask = new Ports.Ask<>(way.requestClass(), client.askedAt() + way.ttl(), "client-" + client.process(), way.mark(),
+        client.placeAssigned();
+        var ask = new Ports.Ask<>(way.requestClass(), client.requestedAt() + way.ttl(), "client-" + client.process(), way.mark(),
                 way.group(), opening);
         pooler.take(ask, client);
     }
 
-    @Override public void over(Client client) { free(client); }
+    @Override public void requestEnded(Client client) { free(client); }
 
     private void free(Client client) {
         long ticket = client.ticket;
@@ -194,7 +194,7 @@
         }
     }
 
-    @Override public void gone(Client client) {
+    @Override public void withdraw(Client client) {
         unstarted.remove(client);
         String request = client.request;
         client.request = null;
@@ -240,12 +240,12 @@
         }
         for (Server s : servers.connections()) {
             Lease lease = s.lease();
-            if (lease == null || !lease.kept()) {
+            if (lease == null || !lease.bound()) {
                 continue;
             }
             Client client = lease.opening().client;
             boolean bounded = lease.opening().mode == Setup.Mode.TRANSACTION;
-            if (now - lease.quietSince() > limits.idleInTransaction()) {
+            if (now - lease.idleInTransactionSince() > limits.idleInTransaction()) {
                 counters.add("pooling_idle_in_transaction");
                 client.fatal("25P03", "idle in transaction for longer than it may");
             } else if (bounded && lease.inTransaction() && now - lease.transactionSince() > limits.transaction()) {
--- a/src/main/java/crankspar/pooling/Progress.java
+++ b/src/main/java/crankspar/pooling/Progress.java
@@ -12,60 +12,60 @@
  */
 final class Progress {
   /** What may follow a break. */
-  enum Verdict {
+  enum Outcome {
     /**
      * Nothing ran, or nothing but reads, and the client has seen nothing: another member may be
      * asked.
      */
-    ELSEWHERE,
+    RETRYABLE,
     /** It was rolled back: it had no effect, and is not sent again. */
     FAILED,
     /** It may have taken effect, or not: 08007. */
     UNKNOWN
   }
 
-  private boolean block,
-      closing,
-      effect,
-      running,
-      harmless = true,
-      shown,
-      decided,
-      waiting,
+  private boolean inBlock,
+      commitSent,
+      implicitWrite,
+      batchRunning,
+      readOnly = true,
+      answerDelivered,
+      writeCommitted,
+      statementQueued,
       executed;
 
   /** An end of a transaction has been sent, and the server has not been ready since. */
   private boolean endSent;
 
   /** Something that may take effect was sent behind such an end. */
-  private boolean effectBehindEnd;
+  private boolean writeAfterEnd;
 
   /** Such an end is a message of its own: the server begins it before the batch's last byte. */
-  private boolean endsWithinBatch;
+  private boolean commitWithinBatch;
 
   /**
    * Statements go out, outside a block as one implicit transaction; called before their first byte
    * leaves. One message ({@code whole}) is begun with its last byte; of several, the first may be
    * executed before the last leaves.
    */
-  void sending(List<Statement> statements, boolean whole) {
+  void sending(List<Statement> statements, boolean singleMessage) {
     for (Statement s : statements) {
-      harmless &= s.harmless();
-      waiting |= s.kind() != Kind.BEGIN;
-      executed |= !whole && s.kind() != Kind.BEGIN;
-      effectBehindEnd |= endSent && !s.harmless();
+      readOnly &= s.harmless();
+      statementQueued |= s.kind() != Kind.BEGIN;
+      executed |= !singleMessage && s.kind() != Kind.BEGIN;
+      writeAfterEnd |= endSent && !s.harmless();
       boolean commits = s.kind() == Kind.COMMIT || s.kind() == Kind.PREPARE_TRANSACTION;
       endSent |= commits || s.kind() == Kind.ROLLBACK;
       if (s.kind() == Kind.BEGIN) {
-        block = true;
-      } else if (commits && block) {
-        closing = true;
-        endsWithinBatch |= !whole;
+        inBlock = true;
+      } else if (commits && inBlock) {
+        commitSent = true;
+        commitWithinBatch |= !singleMessage;
       } else if (s.kind() == Kind.ROLLBACK) {
-        block = false;
-        effect = false;
-      } else if (!block && !s.harmless()) {
-        effect = true;
+        inBlock = false;
+        implicitWrite = false;
+      } else if (!inBlock && !s.harmless()) {
+        implicitWrite = true;
       }
     }
   }
@@ -73,31 +73,31 @@
   /**
    * The last byte of what ends a batch (a Sync, a simple query) has left: the server may begin it.
    */
-  void sent() {
-    running = true;
-    executed |= waiting;
+  void batchSent() {
+    batchRunning = true;
+    executed |= statementQueued;
   }
 
   /** Something of the answer has gone to the client. */
-  void shown() {
-    shown = true;
+  void answerDelivered() {
+    answerDelivered = true;
   }
 
   /** The server has answered COMMIT, ROLLBACK or the like: what is before it is decided. */
-  void decided(String tag) {
+  void writeCommitted(String tag) {
     if (tag.equals("COMMIT") || tag.equals("ROLLBACK") || tag.equals("PREPARE TRANSACTION")) {
-      block = closing = false;
-      effect = effectBehindEnd;
-      decided |= tag.equals("COMMIT") && !harmless;
+      inBlock = commitSent = false;
+      implicitWrite = writeAfterEnd;
+      writeCommitted |= tag.equals("COMMIT") && !readOnly;
     }
   }
 
   /** The server is ready in this state. */
   void ready(char status) {
-    running = endSent = effectBehindEnd = endsWithinBatch = false;
-    block = status != 'I';
+    batchRunning = endSent = writeAfterEnd = commitWithinBatch = false;
+    inBlock = status != 'I';
     if (status == 'I') {
-      closing = effect = false;
+      commitSent = implicitWrite = false;
     }
   }
 
@@ -108,23 +108,24 @@
 
   /** Whether anything but reads has been sent in it. */
   boolean writes() {
-    return !harmless;
+    return !readOnly;
   }
 
   /** Whether a batch is out that has not been answered whole. */
-  boolean running() {
-    return running;
+  boolean batchRunning() {
+    return batchRunning;
   }
 
-  Verdict verdict() {
-    boolean untold = decided && !shown;
-    if ((running || endsWithinBatch) && (closing || effect) || running && untold) {
-      return Verdict.UNKNOWN;
+  Outcome outcome() {
+    boolean undeliveredCommit = writeCommitted && !answerDelivered;
+    if ((batchRunning || commitWithinBatch) && (commitSent || implicitWrite)
+        || batchRunning && undeliveredCommit) {
+      return Outcome.UNKNOWN;
     }
     // A piece of a batch may have been executed and rolled back: only what has no trace is asked
     // elsewhere.
-    return !shown && !decided && (harmless || !running && !executed)
-        ? Verdict.ELSEWHERE
-        : Verdict.FAILED;
+    return !answerDelivered && !writeCommitted && (readOnly || !batchRunning && !executed)
+        ? Outcome.RETRYABLE
+        : Outcome.FAILED;
   }
 }
--- a/src/main/java/crankspar/pooling/Server.java
+++ b/src/main/java/crankspar/pooling/Server.java
@@ -24,7 +24,7 @@
   private final ServerNotes notes = new ServerNotes();
   private final Cleaning cleaning = new Cleaning();
   private final FrameDecoder decoder = new FrameDecoder(false);
-  private final Flow fromClient;
+  private final Backpressure fromClient;
   private SocketConnection stream;
   private Connection out;
   private ConnectionState state = ConnectionState.LOGIN;
@@ -45,10 +45,10 @@
     this.jitter = jitter;
     openedAt = since = pool.now();
     fromClient =
-        new Flow(
+        new Backpressure(
             reading -> {
               if (lease != null) {
-                lease.opening().client.serverTakes(reading);
+                lease.opening().client.serverWritable(reading);
               }
             });
   }
@@ -85,7 +85,7 @@
   }
 
   /** What it serves, or null. */
-  Opening opening() {
+  OpeningBatch opening() {
     return lease == null ? null : lease.opening();
   }
 
@@ -148,7 +148,7 @@
    * It has this one now; it begins as soon as the connection is welcomed and in the client's state,
    * within so long (ms).
    */
-  void serve(Opening opening, double within, Ports.AttemptListener<Answer> listener) {
+  void serve(OpeningBatch opening, double within, Ports.AttemptListener<Answer> listener) {
     lease = new Lease(this, opening, pool.now() + within, listener);
     opening.server = this;
     if (state == ConnectionState.IDLE) {
@@ -157,8 +157,9 @@
   }
 
   private void carry() {
-    Opening opening = lease.opening();
-    String sql = opening.empty() ? null : Carry.settings(sessionState, opening.client.session());
+    OpeningBatch opening = lease.opening();
+    String sql =
+        opening.isEmpty() ? null : StateDiff.restoreQuery(sessionState, opening.client.session());
     if (sql == null) {
       to(ConnectionState.ACTIVE);
       lease.start();
@@ -178,12 +179,12 @@
 
   /** Writes for its client, who is held back while too much waits. */
   void writeForClient(byte[] bytes, Runnable written) {
-    fromClient.queued(bytes.length);
+    fromClient.bytesQueued(bytes.length);
     out.write(
         bytes,
         bytes.length,
         () -> {
-          fromClient.left(bytes.length);
+          fromClient.bytesWritten(bytes.length);
           written.run();
         });
   }
@@ -222,7 +223,7 @@
     ServerLogin.Step step = login.take(f);
     if (step instanceof ServerLogin.Step.Refused refused) {
       if (lease != null) {
-        lease.opening().said = refused.said();
+        lease.opening().serverError = refused.said();
       }
       fail(refused.why());
     } else if (step instanceof ServerLogin.Step.Welcome) {
@@ -255,7 +256,7 @@
         lease.start();
       } else { // its client hears why, as though it had said so itself
         pool.count("pooling_carries_failed", 1);
-        lease.carryFailed(carryError);
+        lease.restoreFailed(carryError);
       }
     }
   }
@@ -264,10 +265,11 @@
   /** The transaction is over, and the connection may go to another client. */
   void finish(AttemptEnd<Answer> how) {
     Lease ended = lease;
-    Release.Condition condition = ended.condition(false, unwanted(), cleaning.cancelsPending());
+    Release.Condition condition =
+        ended.releaseCondition(false, unwanted(), cleaning.cancelsPending());
     detach();
     release(condition);
-    ended.tell(how);
+    ended.reportEnd(how);
   }
 
   private void detach() {
@@ -339,7 +341,7 @@
     switch (state) {
       case IDLE, LOGIN, CARRYING, TESTED -> fail("its member drains or has left");
       case ACTIVE -> {
-        if (lease.between()) {
+        if (lease.betweenTransactions()) {
           lease.opening().client.fatal("57P01", "the server of this session drains");
         }
       }
@@ -360,8 +362,9 @@
       return reach;
     }
     lease.abandon();
-    if (state == ConnectionState.ACTIVE && lease.kept()) {
-      Release.Condition condition = lease.condition(true, unwanted(), cleaning.cancelsPending());
+    if (state == ConnectionState.ACTIVE && lease.bound()) {
+      Release.Condition condition =
+          lease.releaseCondition(true, unwanted(), cleaning.cancelsPending());
       if (Release.of(condition) != Release.CLOSE) {
         detach();
         release(condition);
@@ -380,7 +383,7 @@
     Reach reach = reach();
     Lease had = lease;
     if (had != null) {
-      had.lost(state == ConnectionState.ACTIVE);
+      had.connectionLost(state == ConnectionState.ACTIVE);
     }
     lease = null;
     to(ConnectionState.CLOSED);
@@ -389,7 +392,7 @@
     }
     pool.gone(this);
     if (had != null) {
-      had.tell(new AttemptEnd.Broken<>(reach, why));
+      had.reportEnd(new AttemptEnd.Broken<>(reach, why));
     }
   }
 
--- a/src/main/java/crankspar/pooling/ServerReplies.java
+++ b/src/main/java/crankspar/pooling/ServerReplies.java
@@ -1,6 +1,6 @@
 package crankspar.pooling;
 
-import crankspar.pooling.PendingReply.Step;
+import crankspar.pooling.PendingReply.MessageKind;
 import crankspar.pooling.Sql.Statement;
 import java.util.List;
 
@@ -23,11 +23,11 @@
   private Progress progress;
 
   /** How many statements of the present simple query have been done. */
-  private int doneOfQuery;
+  private int queryStatementsDone;
 
   private boolean executed;
   private boolean statementLost;
-  private String error;
+  private String firstError;
 
   ServerReplies(
       SessionState client,
@@ -45,30 +45,30 @@
   }
 
   /** Another transaction begins. */
-  void transaction(Progress next) {
+  void beginTransaction(Progress next) {
     progress = next;
   }
 
   /** The next batch begins: what is known of the last one's errors is over. */
-  void nextBatch() {
-    replies.batch();
+  void beginBatch() {
+    replies.beginBatch();
     executed = false;
     forgetErrors();
   }
 
   void forgetErrors() {
     statementLost = false;
-    error = null;
+    firstError = null;
   }
 
   /** A simple query has been sent. */
   void querySent() {
-    doneOfQuery = 0;
+    queryStatementsDone = 0;
   }
 
   /** The SQLSTATE of a batch's first error, or null; known until the next batch begins. */
-  String error() {
-    return error;
+  String firstError() {
+    return firstError;
   }
 
   /** Whether any statement of it has been executed, in whole or in part. */
@@ -82,7 +82,7 @@
   }
 
   /** Takes one message, and adds what the client hears of it. */
-  void take(Frame f, List<Frame> toClient) throws Frame.Malformed {
+  void receive(Frame f, List<Frame> toClient) throws Frame.Malformed {
     switch (f.type()) {
       case 'N' -> {
         if (!answersInternal()) {
@@ -93,9 +93,9 @@
       case 'S' -> parameter(f, toClient);
       case 'E' -> {
         boolean refused = answersInternal() && replies.next().answer() != null;
-        Frame said = refused ? replies.next().answer() : f;
-        toClient.add(said);
-        failed(said);
+        Frame reply = refused ? replies.next().answer() : f;
+        toClient.add(reply);
+        failed(reply);
       }
       case 'Z' -> {
         ready(f);
@@ -121,71 +121,72 @@
 
   /** Whether what comes now is on account of a message of the pooler's own. */
   private boolean answersInternal() {
-    return !replies.isEmpty() && replies.next().step() == Step.INTERNAL;
+    return !replies.isEmpty() && replies.next().kind() == MessageKind.INTERNAL;
   }
 
   private void answer(Frame f, List<Frame> toClient) throws Frame.Malformed {
     PendingReply expected = replies.expected();
-    Step step = expected.step();
+    MessageKind step = expected.kind();
     if (!step.answeredBy(f.type())) {
       throw new Frame.Malformed("message type " + f.type() + " in answer to " + step);
     }
-    if (step == Step.INTERNAL) {
-      replies.answered();
+    if (step == MessageKind.INTERNAL) {
+      replies.complete();
       return;
     }
-    executed |= step == Step.EXECUTE || step == Step.QUERY || step == Step.CALL;
-    Frame said = f.type() == 'I' && expected.answer() != null ? expected.answer() : f;
-    toClient.add(said);
+    executed |=
+        step == MessageKind.EXECUTE || step == MessageKind.QUERY || step == MessageKind.CALL;
+    Frame reply = f.type() == 'I' && expected.answer() != null ? expected.answer() : f;
+    toClient.add(reply);
     switch (f.type()) {
       case 'G', 'W' -> {
         if (!batch.endOfDataSent()) {
-          batch.copyBegins(replies.ignoreSyncBehind());
+          batch.copyStarted(replies.removeFollowingSync());
         }
       }
-      case 'C', 'I' -> done(expected, said);
+      case 'C', 'I' -> statementDone(expected, reply);
       case 's' -> { // it has run up to a row, whether or not the rest is ever fetched
-        expected.statements().forEach(s -> both(s, ""));
-        answered();
+        expected.statements().forEach(s -> applyToBothSides(s, ""));
+        completeReply();
       }
       case 'D', 'H', 'c', 'V', 't' -> {}
       case 'T' -> {
-        if (step != Step.QUERY) {
-          replies.answered();
+        if (step != MessageKind.QUERY) {
+          replies.complete();
         }
       }
       default -> {
-        if (step == Step.CLOSE) {
-          expected.statements().forEach(s -> both(s, ""));
+        if (step == MessageKind.CLOSE) {
+          expected.statements().forEach(s -> applyToBothSides(s, ""));
         }
-        answered();
+        completeReply();
       }
     }
   }
 
   /** A statement is done: what it did to the session counts from now on, on both sides. */
-  private void done(PendingReply reply, Frame said) throws Frame.Malformed {
+  private void statementDone(PendingReply reply, Frame said) throws Frame.Malformed {
     List<Statement> statements = reply.statements();
-    int i = reply.step() == Step.QUERY ? doneOfQuery++ : 0;
+    int i = reply.kind() == MessageKind.QUERY ? queryStatementsDone++ : 0;
     if (i < statements.size() && said.type() == 'C') {
       String tag = said.read().text();
-      both(statements.get(i), tag);
-      progress.decided(tag);
+      applyToBothSides(statements.get(i), tag);
+      progress.writeCommitted(tag);
     }
-    if (reply.step() == Step.EXECUTE) {
-      batch.executed();
-      answered();
+    if (reply.kind() == MessageKind.EXECUTE) {
+      batch.statementCompleted();
+      completeReply();
     }
   }
 
-  private void answered() {
-    PendingReply reply = replies.answered();
-    if (reply.step() == Step.EXECUTE) {
+  private void completeReply() {
+    PendingReply reply = replies.complete();
+    if (reply.kind() == MessageKind.EXECUTE) {
       projected.answered(reply.statements());
     }
   }
 
-  private void both(Statement s, String tag) {
+  private void applyToBothSides(Statement s, String tag) {
     Statement effect = client.effect(s);
     client.done(effect, tag);
     server.done(effect, tag, client.sessionOptions().statementOptions());
@@ -194,19 +195,19 @@
   private void failed(Frame f) throws Frame.Malformed {
     PendingReply reply = replies.next();
     String code = f.fields().getOrDefault('C', "");
-    error = error == null ? code : error;
+    firstError = firstError == null ? code : firstError;
     batch.failed();
     client.failed();
     server.failed();
-    if (reply == null || reply.step().endsBatch()) {
+    if (reply == null || reply.kind().endsBatch()) {
       return;
     }
     boolean lost = code.equals(STATEMENT_LOST) || code.equals(STATEMENT_STALE);
-    if (lost && reply.prepared() != null && reply.step() != Step.PARSE) {
+    if (lost && reply.prepared() != null && reply.kind() != MessageKind.PARSE) {
       statementLost = true;
       server.drop(reply.prepared()); // it is prepared anew when next used
     }
-    replies.passOver();
+    replies.skipToSync();
     projected.forget();
     if (replies.isEmpty()) {
       batch.failedBeforeSync();
@@ -214,14 +215,14 @@
   }
 
   private void ready(Frame f) throws Frame.Malformed {
-    if (replies.isEmpty() && batch.syncInDoubt()) {
+    if (replies.isEmpty() && batch.syncUncertain()) {
       batch.rewind();
     } else {
-      Step step = replies.expected().step();
+      MessageKind step = replies.expected().kind();
       if (!step.endsBatch()) {
         throw new Frame.Malformed("ready before the answer to " + step);
       }
-      replies.ready();
+      replies.removeBatchEnd();
     }
     projected.forget();
     char status = f.read().code();
--- a/src/main/java/crankspar/pooling/Servers.java
+++ b/src/main/java/crankspar/pooling/Servers.java
@@ -31,7 +31,7 @@
  * which idle connection is used and which are closed {@link IdleList} decides. Probes have
  * connections of their own.
  */
-final class Servers implements Ports.Backends<Opening, Answer>, MemberAddresses, ServerPool {
+final class Servers implements Ports.Backends<OpeningBatch, Answer>, MemberAddresses, ServerPool {
   private static final double SWEEP = 250;
 
   /** From a client's end to a connection that is clean (ms). */
@@ -166,7 +166,7 @@
   @Override
   public Ports.Call send(
       String member,
-      Opening opening,
+      OpeningBatch opening,
       double deadline,
       double connectBy,
       Ports.AttemptListener<Answer> listener) {
@@ -178,7 +178,7 @@
     ServerKey key = opening.client.key();
     Server server =
         IdleList.choose(
-            idle(m, key), s -> Carry.distance(s.sessionState(), opening.client.session()));
+            idle(m, key), s -> StateDiff.distance(s.sessionState(), opening.client.session()));
     if (server != null) {
       server.serve(opening, within, listener);
       return server;
--- a/src/main/java/crankspar/pooling/Carry.java
+++ b/src/main/java/crankspar/pooling/StateDiff.java
@@ -11,26 +11,26 @@
  * statements take one simple query of several statements, and none at all where nothing differs; a
  * statement of the protocol's takes one Parse where it is used and not there.
  */
-final class Carry {
+final class StateDiff {
   /**
    * Before one of the client's messages: what is closed, and whether its statement is prepared
    * first.
    */
-  record Bringing(List<Prepared> close, boolean parse) {
-    static final Bringing NOTHING = new Bringing(List.of(), false);
+  record PrepareSteps(List<Prepared> close, boolean parse) {
+    static final PrepareSteps NONE = new PrepareSteps(List.of(), false);
   }
 
-  private Carry() {}
+  private StateDiff() {}
 
   /**
    * The query that makes a connection's options and SQL-level statements the client's, or null
    * where they are. A role is set last: under another one the rest might not be allowed.
    */
-  static String settings(ServerState server, SessionState client) {
+  static String restoreQuery(ServerState server, SessionState client) {
     if (server.options() == client.options() && server.sqlPrepared() == client.sqlPrepared()) {
       return null;
     }
-    var sql = new ArrayList<String>(changes(server.options(), client.options()));
+    var sql = new ArrayList<String>(optionChanges(server.options(), client.options()));
     for (Map.Entry<String, SqlPrepared> e : new TreeMap<>(server.sqlPrepared()).entrySet()) {
       if (!e.getValue().equals(client.sqlPrepared().get(e.getKey()))) {
         sql.add("DEALLOCATE " + Sql.identifier(e.getKey()));
@@ -38,24 +38,25 @@
     }
     for (Map.Entry<String, SqlPrepared> e : new TreeMap<>(client.sqlPrepared()).entrySet()) {
       if (!e.getValue().equals(server.sqlPrepared().get(e.getKey()))) {
-        sql.addAll(prepare(e.getValue(), client.options()));
+        sql.addAll(prepareUnderOptions(e.getValue(), client.options()));
       }
     }
     return sql.isEmpty() ? null : String.join("; ", sql);
   }
 
   /** A PREPARE under the options that it was first done under, and those in force after it. */
-  private static List<String> prepare(SqlPrepared statement, PMap<String, String> inForce) {
+  private static List<String> prepareUnderOptions(
+      SqlPrepared statement, PMap<String, String> inForce) {
     PMap<String, String> under = statement.options().values();
-    PMap<String, String> now = StatementOptions.of(inForce).values();
-    var sql = new ArrayList<String>(changes(now, under));
+    PMap<String, String> currentOptions = StatementOptions.of(inForce).values();
+    var sql = new ArrayList<String>(optionChanges(currentOptions, under));
     sql.add(statement.text());
-    sql.addAll(changes(under, now));
+    sql.addAll(optionChanges(under, currentOptions));
     return sql;
   }
 
   /** The statements that make these options those, the role last. */
-  static List<String> changes(PMap<String, String> from, PMap<String, String> to) {
+  static List<String> optionChanges(PMap<String, String> from, PMap<String, String> to) {
     if (from == to) {
       return List.of();
     }
@@ -118,9 +119,9 @@
    * What a named statement needs before it is used on a connection that may hold {@code most}. The
    * ones that have been unused for longest make room.
    */
-  static Bringing statement(ServerState server, Prepared statement, int most) {
+  static PrepareSteps prepareSteps(ServerState server, Prepared statement, int most) {
     return server.has(statement)
-        ? Bringing.NOTHING
-        : new Bringing(new ArrayList<>(server.beyond(Math.max(0, most - 1))), true);
+        ? PrepareSteps.NONE
+        : new PrepareSteps(new ArrayList<>(server.beyond(Math.max(0, most - 1))), true);
   }
 }
--- a/src/main/java/crankspar/pooling/StatementNames.java
+++ b/src/main/java/crankspar/pooling/StatementNames.java
@@ -1,6 +1,6 @@
 package crankspar.pooling;
 
-import crankspar.pooling.PendingReply.Step;
+import crankspar.pooling.PendingReply.MessageKind;
 import java.util.function.BiConsumer;
 
 /**
@@ -80,7 +80,7 @@
       return;
     }
     ensurePrepared(taken);
-    parse(taken.name(), statement, PendingReply.to(Step.PARSE, (Prepared) null));
+    parse(taken.name(), statement, PendingReply.expect(MessageKind.PARSE, (Prepared) null));
   }
 
   /** The client prepares a statement under a name that is free. */
@@ -95,9 +95,9 @@
       parse(
           statement.name(),
           statement,
-          PendingReply.to(Step.PARSE, statement)
-              .undoneAtClient(undo)
-              .undoneAtServer(() -> server.remove(statement)));
+          PendingReply.expect(MessageKind.PARSE, statement)
+              .withClientUndo(undo)
+              .withServerUndo(() -> server.remove(statement)));
     }
   }
 
@@ -112,9 +112,9 @@
     }
     send.accept(
         null,
-        PendingReply.to(Step.LOCAL, statement)
-            .answeredAs(Frame.PARSE_COMPLETE)
-            .undoneAtClient(undo));
+        PendingReply.expect(MessageKind.LOCAL, statement)
+            .withAnswer(Frame.PARSE_COMPLETE)
+            .withClientUndo(undo));
   }
 
   private void parseAsUnnamed(Prepared statement, Runnable undo) {
@@ -122,9 +122,9 @@
     parse(
         "",
         statement,
-        PendingReply.to(Step.PARSE, statement)
-            .undoneAtClient(undo)
-            .undoneAtServer(() -> server.unnamed(null)));
+        PendingReply.expect(MessageKind.PARSE, statement)
+            .withClientUndo(undo)
+            .withServerUndo(() -> server.unnamed(null)));
   }
 
   private void parse(String as, Prepared statement, PendingReply reply) {
@@ -193,7 +193,7 @@
    */
   void failAtServer(Frame error) {
     Frame bind = Frame.body().text("").text(UNKNOWN_NAME).int16(0).int16(0).int16(0).as('B');
-    send.accept(bind, PendingReply.internal(null, () -> {}).answeredAs(error));
+    send.accept(bind, PendingReply.internal(null, () -> {}).withAnswer(error));
   }
 
   /** Runs a statement of the pooler's own within the client's transaction. */
@@ -211,7 +211,7 @@
 
   /** Makes room for a statement: the least recently used ones are closed on the server. */
   private void evictFor(Prepared statement) {
-    for (Prepared old : Carry.statement(server, statement, mostOnServer).close()) {
+    for (Prepared old : StateDiff.prepareSteps(server, statement, mostOnServer).close()) {
       server.remove(old);
       send.accept(Frame.close('S', old.name()), PendingReply.internal(old, () -> server.add(old)));
     }
--- a/src/test/java/crankspar/pooling/ExchangeTest.java
+++ b/src/test/java/crankspar/pooling/ExchangeTest.java
@@ -14,7 +14,7 @@
 class ExchangeTest {
   private final SessionState client = SessionState.of(Map.of());
   private final ServerState server = new ServerState();
-  private final Exchange x = exchange(Set.of(), 200);
+  private final Exchange exchange = exchange(Set.of(), 200);
 
   private Exchange exchange(Set<Pins.Kind> refused, int statements) {
     var limits =
@@ -28,17 +28,17 @@
     return text.toString();
   }
 
-  private String out(Exchange x, Frame... frames) throws Exception {
+  private String sendFromClient(Exchange x, Frame... frames) throws Exception {
     var text = new StringBuilder();
     for (Frame f : frames) {
-      Exchange.Moves m = x.fromClient(f);
+      Exchange.Output m = x.fromClient(f);
       text.append(types(m.toServer()))
           .append(m.toClient().isEmpty() ? "" : "<" + types(m.toClient()) + ">");
     }
     return text.toString();
   }
 
-  private String back(Exchange x, Frame... frames) throws Exception {
+  private String sendFromServer(Exchange x, Frame... frames) throws Exception {
     var text = new StringBuilder();
     for (Frame f : frames) {
       text.append(types(x.fromServer(f).toClient()));
@@ -60,53 +60,59 @@
     };
   }
 
-  private void once(String name, String sql) throws Exception {
-    assertThat(out(x, use(name, sql))).isEqualTo("PBES");
-    assertThat(back(x, of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
+  private void executeOnce(String name, String sql) throws Exception {
+    assertThat(sendFromClient(exchange, use(name, sql))).isEqualTo("PBES");
+    assertThat(
+            sendFromServer(
+                exchange, of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
         .isEqualTo("12CZ");
-    x.batch();
+    exchange.beginBatch();
   }
 
   @Test
   void aStatementThatTheServerHasIsNotPreparedAgain() throws Exception {
-    once("a", "SELECT 1");
-    assertThat(out(x, use("b", "SELECT 1"))).isEqualTo("<1>BES");
-    assertThat(back(x, of('2'), Frame.complete("SELECT 1"), Frame.ready('I'))).isEqualTo("2CZ");
-    assertThat(x.prepares()).isEqualTo(1);
-    assertThat(x.settled()).isTrue();
+    executeOnce("a", "SELECT 1");
+    assertThat(sendFromClient(exchange, use("b", "SELECT 1"))).isEqualTo("<1>BES");
+    assertThat(sendFromServer(exchange, of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
+        .isEqualTo("2CZ");
+    assertThat(exchange.prepares()).isEqualTo(1);
+    assertThat(exchange.betweenTransactions()).isTrue();
   }
 
   @Test
-  void whatIsSparedIsSaidInItsTurn() throws Exception {
-    once("a", "SELECT 1");
+  void locallyAnsweredMessagesKeepTheirOrder() throws Exception {
+    executeOnce("a", "SELECT 1");
     assertThat(
-            out(
-                x,
+            sendFromClient(
+                exchange,
                 PgWire.bind("a"),
                 PgWire.execute(),
                 PgWire.parse("b", "SELECT 1"),
                 PgWire.sync()))
         .isEqualTo("BES");
-    assertThat(back(x, of('2'))).isEqualTo("2");
-    assertThat(back(x, Frame.complete("SELECT 1"))).isEqualTo("C1");
-    assertThat(back(x, Frame.ready('I'))).isEqualTo("Z");
+    assertThat(sendFromServer(exchange, of('2'))).isEqualTo("2");
+    assertThat(sendFromServer(exchange, Frame.complete("SELECT 1"))).isEqualTo("C1");
+    assertThat(sendFromServer(exchange, Frame.ready('I'))).isEqualTo("Z");
   }
 
   @Test
-  void whatIsBroughtIsSwallowed() throws Exception {
+  void repliesToThePoolersOwnMessagesAreNotForwarded() throws Exception {
     client.prepare("a", Prepared.of("SELECT 1", new byte[2]));
-    assertThat(out(x, PgWire.bind("a"), PgWire.execute(), PgWire.sync())).isEqualTo("PBES");
-    assertThat(back(x, of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
+    assertThat(sendFromClient(exchange, PgWire.bind("a"), PgWire.execute(), PgWire.sync()))
+        .isEqualTo("PBES");
+    assertThat(
+            sendFromServer(
+                exchange, of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
         .isEqualTo("2CZ");
   }
 
   @Test
   void theSameNameWithAnotherTextIsAnotherStatement() throws Exception {
-    once("a", "SELECT 1");
+    executeOnce("a", "SELECT 1");
     SessionState other = SessionState.of(Map.of());
     other.prepare("a", Prepared.of("SELECT 2", new byte[2]));
     var theirs = new Exchange(other, server, new Progress(), Setup.Limits.DEFAULT, Set.of());
-    Exchange.Moves m = theirs.fromClient(PgWire.bind("a"));
+    Exchange.Output m = theirs.fromClient(PgWire.bind("a"));
     assertThat(types(m.toServer())).isEqualTo("PB");
     Frame.Reader r = m.toServer().get(1).read();
     r.text();
@@ -116,16 +122,17 @@
   }
 
   @Test
-  void afterAnErrorTheRestOfThePipelineIsAsItWas() throws Exception {
+  void anErrorUndoesTheRestOfThePipeline() throws Exception {
     assertThat(
-            out(
-                x,
+            sendFromClient(
+                exchange,
                 PgWire.parse("a", "SELECT 1"),
                 PgWire.parse("b", "SELECT bad"),
                 PgWire.parse("c", "SELECT 3"),
                 PgWire.sync()))
         .isEqualTo("PPPS");
-    assertThat(back(x, of('1'), error("42703"), Frame.ready('I'))).isEqualTo("1EZ");
+    assertThat(sendFromServer(exchange, of('1'), error("42703"), Frame.ready('I')))
+        .isEqualTo("1EZ");
     assertThat(client.prepared("a")).isNotNull();
     assertThat(client.prepared("b")).isNull();
     assertThat(client.prepared("c")).isNull();
@@ -134,66 +141,73 @@
   }
 
   @Test
-  void anErrorBeforeTheSyncHasTheRestPassedOver() throws Exception {
-    assertThat(out(x, PgWire.parse("a", "SELECT bad"), of('H'))).isEqualTo("PH");
-    assertThat(back(x, error("42703"))).isEqualTo("E");
-    assertThat(out(x, PgWire.bind("a"), PgWire.execute())).isEmpty();
-    assertThat(out(x, PgWire.sync())).isEqualTo("S");
-    assertThat(back(x, Frame.ready('I'))).isEqualTo("Z");
+  void afterAnErrorMessagesAreSkippedUpToSync() throws Exception {
+    assertThat(sendFromClient(exchange, PgWire.parse("a", "SELECT bad"), of('H'))).isEqualTo("PH");
+    assertThat(sendFromServer(exchange, error("42703"))).isEqualTo("E");
+    assertThat(sendFromClient(exchange, PgWire.bind("a"), PgWire.execute())).isEmpty();
+    assertThat(sendFromClient(exchange, PgWire.sync())).isEqualTo("S");
+    assertThat(sendFromServer(exchange, Frame.ready('I'))).isEqualTo("Z");
   }
 
   @Test
   void nothingGoesOnUntilTheServerIsReady() throws Exception {
-    out(x, Frame.query("SELECT 1"));
-    assertThat(x.pausing()).isTrue();
-    back(x, Frame.complete("SELECT 1"), Frame.ready('T'));
-    assertThat(x.pausing()).isFalse();
-    assertThat(x.settled()).isFalse();
+    sendFromClient(exchange, Frame.query("SELECT 1"));
+    assertThat(exchange.awaitingReady()).isTrue();
+    sendFromServer(exchange, Frame.complete("SELECT 1"), Frame.ready('T'));
+    assertThat(exchange.awaitingReady()).isFalse();
+    assertThat(exchange.betweenTransactions()).isFalse();
   }
 
   @Test
-  void aLostStatementMayBeBegunAgainWhereNothingRan() throws Exception {
-    once("a", "SELECT 1");
-    assertThat(out(x, PgWire.bind("a"), PgWire.execute(), PgWire.sync())).isEqualTo("BES");
-    back(x, error("26000"), Frame.ready('I'));
-    assertThat(x.again()).isTrue();
-    x.rewind();
-    x.batch();
-    assertThat(out(x, PgWire.bind("a"), PgWire.execute(), PgWire.sync())).isEqualTo("CPBES");
-    assertThat(back(x, of('3'), of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
+  void aBatchThatLostItsStatementIsRetryableIfNothingRan() throws Exception {
+    executeOnce("a", "SELECT 1");
+    assertThat(sendFromClient(exchange, PgWire.bind("a"), PgWire.execute(), PgWire.sync()))
+        .isEqualTo("BES");
+    sendFromServer(exchange, error("26000"), Frame.ready('I'));
+    assertThat(exchange.retryableAfterLostStatement()).isTrue();
+    exchange.rewind();
+    exchange.beginBatch();
+    assertThat(sendFromClient(exchange, PgWire.bind("a"), PgWire.execute(), PgWire.sync()))
+        .isEqualTo("CPBES");
+    assertThat(
+            sendFromServer(
+                exchange, of('3'), of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
         .isEqualTo("2CZ");
   }
 
   @Test
-  void aLostStatementInsideABlockIsTheClientsToHear() throws Exception {
-    once("a", "SELECT 1");
-    out(x, Frame.query("BEGIN"));
-    back(x, Frame.complete("BEGIN"), Frame.ready('T'));
-    x.batch();
-    out(x, PgWire.bind("a"), PgWire.execute(), PgWire.sync());
-    assertThat(back(x, error("0A000"), Frame.ready('E'))).isEqualTo("EZ");
-    assertThat(x.again()).isFalse();
+  void aLostStatementInsideABlockIsReportedToTheClient() throws Exception {
+    executeOnce("a", "SELECT 1");
+    sendFromClient(exchange, Frame.query("BEGIN"));
+    sendFromServer(exchange, Frame.complete("BEGIN"), Frame.ready('T'));
+    exchange.beginBatch();
+    sendFromClient(exchange, PgWire.bind("a"), PgWire.execute(), PgWire.sync());
+    assertThat(sendFromServer(exchange, error("0A000"), Frame.ready('E'))).isEqualTo("EZ");
+    assertThat(exchange.retryableAfterLostStatement()).isFalse();
   }
 
   @Test
   void theLeastRecentlyUsedStatementIsClosed() throws Exception {
     Exchange small = exchange(Set.of(), 1);
-    assertThat(out(small, use("a", "SELECT 1"))).isEqualTo("PBES");
-    assertThat(back(small, of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
+    assertThat(sendFromClient(small, use("a", "SELECT 1"))).isEqualTo("PBES");
+    assertThat(
+            sendFromServer(small, of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
         .isEqualTo("12CZ");
-    assertThat(out(small, use("b", "SELECT 2"))).isEqualTo("CPBES");
-    assertThat(back(small, of('3'), of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
+    assertThat(sendFromClient(small, use("b", "SELECT 2"))).isEqualTo("CPBES");
+    assertThat(
+            sendFromServer(
+                small, of('3'), of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
         .isEqualTo("12CZ");
     assertThat(server.statements()).isEqualTo(1);
   }
 
   @Test
-  void whatTheOperatorRefusesIsSaidInItsTurn() throws Exception {
+  void refusedStatementsAreAnsweredInOrder() throws Exception {
     Exchange strict = exchange(EnumSet.of(Pins.Kind.LISTEN), 10);
-    assertThat(out(strict, Frame.query("LISTEN a"))).isEqualTo("<EZ>");
-    assertThat(strict.settled()).isTrue();
+    assertThat(sendFromClient(strict, Frame.query("LISTEN a"))).isEqualTo("<EZ>");
+    assertThat(strict.betweenTransactions()).isTrue();
     assertThat(
-            out(
+            sendFromClient(
                 strict,
                 PgWire.parse("", "SELECT 1"),
                 PgWire.bind(""),
@@ -201,47 +215,49 @@
                 PgWire.bind("l"),
                 PgWire.sync()))
         .isEqualTo("PBS");
-    assertThat(back(strict, of('1'), of('2'), Frame.ready('I'))).isEqualTo("12EZ");
+    assertThat(sendFromServer(strict, of('1'), of('2'), Frame.ready('I'))).isEqualTo("12EZ");
   }
 
   @Test
-  void aBoundOnStatements() throws Exception {
+  void aClientOverItsStatementLimitGetsAnError() throws Exception {
     for (String name : List.of("a", "b", "c")) {
-      once(name, "SELECT '" + name + "'");
+      executeOnce(name, "SELECT '" + name + "'");
     }
-    assertThat(out(x, PgWire.parse("d", "SELECT 4"), PgWire.sync())).isEqualTo("<E>S");
-    assertThat(back(x, Frame.ready('I'))).isEqualTo("Z");
+    assertThat(sendFromClient(exchange, PgWire.parse("d", "SELECT 4"), PgWire.sync()))
+        .isEqualTo("<E>S");
+    assertThat(sendFromServer(exchange, Frame.ready('I'))).isEqualTo("Z");
   }
 
   @Test
-  void copyDataGoesOnWhileACopyRunsOnly() throws Exception {
-    assertThat(out(x, PgWire.copyData("stray"))).isEmpty();
-    out(x, Frame.query("COPY t FROM STDIN"));
-    assertThat(back(x, of('G'))).isEqualTo("G");
-    assertThat(x.pausing()).isFalse();
-    assertThat(out(x, PgWire.copyData("1"), of('c'))).isEqualTo("dc");
-    assertThat(x.pausing()).isTrue();
-    assertThat(back(x, Frame.complete("COPY 1"), Frame.ready('I'))).isEqualTo("CZ");
+  void copyDataIsForwardedOnlyDuringACopy() throws Exception {
+    assertThat(sendFromClient(exchange, PgWire.copyData("stray"))).isEmpty();
+    sendFromClient(exchange, Frame.query("COPY t FROM STDIN"));
+    assertThat(sendFromServer(exchange, of('G'))).isEqualTo("G");
+    assertThat(exchange.awaitingReady()).isFalse();
+    assertThat(sendFromClient(exchange, PgWire.copyData("1"), of('c'))).isEqualTo("dc");
+    assertThat(exchange.awaitingReady()).isTrue();
+    assertThat(sendFromServer(exchange, Frame.complete("COPY 1"), Frame.ready('I')))
+        .isEqualTo("CZ");
   }
 
   @Test
   void anAnswerThatNothingAskedForIsMalformed() throws Exception {
-    assertThatThrownBy(() -> back(x, Frame.complete("SELECT 1")))
+    assertThatThrownBy(() -> sendFromServer(exchange, Frame.complete("SELECT 1")))
         .isInstanceOf(Frame.Malformed.class);
-    out(x, use("a", "SELECT 1"));
-    assertThatThrownBy(() -> back(x, Frame.row(List.of("1"))))
+    sendFromClient(exchange, use("a", "SELECT 1"));
+    assertThatThrownBy(() -> sendFromServer(exchange, Frame.row(List.of("1"))))
         .hasMessageContaining("in answer to PARSE");
   }
 
   @Test
-  void settingsCountOnceTheServerHasSaidSo() throws Exception {
-    out(x, Frame.query("SET a TO 1; SELECT bad"));
-    back(x, Frame.complete("SET"), error("42703"), Frame.ready('I'));
+  void settingsTakeEffectOnceTheServerConfirmsThem() throws Exception {
+    sendFromClient(exchange, Frame.query("SET a TO 1; SELECT bad"));
+    sendFromServer(exchange, Frame.complete("SET"), error("42703"), Frame.ready('I'));
     assertThat(client.options()).isEmpty();
-    x.batch();
-    out(x, Frame.query("SET a TO 1"));
+    exchange.beginBatch();
+    sendFromClient(exchange, Frame.query("SET a TO 1"));
     assertThat(client.options()).isEmpty();
-    back(x, Frame.complete("SET"), Frame.ready('I'));
+    sendFromServer(exchange, Frame.complete("SET"), Frame.ready('I'));
     assertThat(client.options()).containsEntry("a", "1").isEqualTo(server.options());
   }
 }
--- a/src/test/java/crankspar/pooling/ProgressTest.java
+++ b/src/test/java/crankspar/pooling/ProgressTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import crankspar.pooling.Progress.Verdict;
+import crankspar.pooling.Progress.Outcome;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -17,17 +17,17 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "SELECT 1 | ELSEWHERE",
-        "SELECT 1,! | ELSEWHERE",
+        "SELECT 1 | RETRYABLE",
+        "SELECT 1,! | RETRYABLE",
         "SELECT 1,!,> | FAILED",
-        "INSERT 1 | ELSEWHERE",
+        "INSERT 1 | RETRYABLE",
         "INSERT 1,! | UNKNOWN",
         "INSERT 1,!,=INSERT 0 1,> | UNKNOWN",
         "INSERT 1,!,=INSERT 0 1,I | FAILED",
         "?INSERT 1 | FAILED",
-        "?SELECT 1 | ELSEWHERE",
-        "BEGIN | ELSEWHERE",
-        "BEGIN,! | ELSEWHERE",
+        "?SELECT 1 | RETRYABLE",
+        "BEGIN | RETRYABLE",
+        "BEGIN,! | RETRYABLE",
         "BEGIN,!,=BEGIN,T,> | FAILED",
         "BEGIN,!,=BEGIN,T,>,INSERT 1,! | FAILED",
         "BEGIN,!,=BEGIN,T,>,INSERT 1,!,T,COMMIT | FAILED",
@@ -35,7 +35,7 @@
         "BEGIN,!,=BEGIN,T,>,INSERT 1,!,T,COMMIT,!,=COMMIT | FAILED",
         "BEGIN,!,=BEGIN,T,>,INSERT 1,!,T,ROLLBACK,! | FAILED",
         "BEGIN,!,T,>,INSERT 1,!,E,COMMIT,!,=ROLLBACK,I | FAILED",
-        "BEGIN; INSERT 1; COMMIT | ELSEWHERE",
+        "BEGIN; INSERT 1; COMMIT | RETRYABLE",
         "BEGIN; INSERT 1; COMMIT,! | UNKNOWN",
         "BEGIN; INSERT 1,! | FAILED",
         "BEGIN; INSERT 1; COMMIT; SELECT 1,!,=BEGIN,=INSERT 0 1,=COMMIT | UNKNOWN",
@@ -48,17 +48,17 @@
         "BEGIN,!,=BEGIN,T,>,INSERT 1,!,=INSERT 0 1,T,?COMMIT,=COMMIT | FAILED",
         "?BEGIN,?INSERT 1,?COMMIT | UNKNOWN",
         "?BEGIN,?INSERT 1,?COMMIT,?BEGIN,?INSERT 2,?COMMIT,>,=COMMIT | UNKNOWN",
-        "BEGIN; SELECT 1,! | ELSEWHERE",
-        "SET a TO 1,! | ELSEWHERE",
+        "BEGIN; SELECT 1,! | RETRYABLE",
+        "SET a TO 1,! | RETRYABLE",
         "EXECUTE p,! | UNKNOWN"
       })
-  void theVerdict(String program, Verdict verdict) {
+  void outcomeAfterConnectionLoss(String program, Outcome verdict) {
     var p = new Progress();
     for (String step : program.strip().split(",")) {
       switch (step.charAt(0)) {
-        case '!' -> p.sent();
-        case '>' -> p.shown();
-        case '=' -> p.decided(step.substring(1));
+        case '!' -> p.batchSent();
+        case '>' -> p.answerDelivered();
+        case '=' -> p.writeCommitted(step.substring(1));
         case '?' -> p.sending(Sql.split(step.substring(1)), false);
         default -> {
           if (step.length() == 1) {
@@ -69,6 +69,6 @@
         }
       }
     }
-    assertThat(p.verdict()).isEqualTo(verdict);
+    assertThat(p.outcome()).isEqualTo(verdict);
   }
 }
--- a/src/test/java/crankspar/pooling/StateTest.java
+++ b/src/test/java/crankspar/pooling/StateTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a client finds again, and the messages that bring it: SessionState, ServerState, Carry and
- * Pins.
+ * What a client finds again, and the messages that bring it: SessionState, ServerState, StateDiff
+ * and Pins.
  */
 class StateTest {
   private static void done(SessionState s, String... statements) {
@@ -113,18 +113,18 @@
   void aCarrySaysOnlyWhatDiffers() {
     SessionState client = state("TimeZone", "UTC");
     var server = new ServerState();
-    assertThat(Carry.settings(server, client)).isEqualTo("SET TIME ZONE 'UTC'");
+    assertThat(StateDiff.restoreQuery(server, client)).isEqualTo("SET TIME ZONE 'UTC'");
     server.carried(client.options(), client.sqlPrepared());
-    assertThat(Carry.settings(server, client)).isNull();
-    assertThat(Carry.distance(server, client)).isZero();
+    assertThat(StateDiff.restoreQuery(server, client)).isNull();
+    assertThat(StateDiff.distance(server, client)).isZero();
     done(client, "SET search_path TO a, b", "SET ROLE r", "PREPARE p AS SELECT 1");
     client.ready('I');
-    assertThat(Carry.settings(server, client))
+    assertThat(StateDiff.restoreQuery(server, client))
         .isEqualTo("SET search_path TO a, b; SET role TO r; PREPARE p AS SELECT 1");
     server.carried(client.options(), client.sqlPrepared());
     SessionState other = state();
     done(other, "PREPARE p AS SELECT 2");
-    assertThat(Carry.settings(server, other))
+    assertThat(StateDiff.restoreQuery(server, other))
         .isEqualTo(
             "RESET role; RESET search_path; RESET timezone; DEALLOCATE \"p\"; PREPARE p AS SELECT 2");
   }
@@ -196,8 +196,9 @@
     server.add(a);
     server.add(b);
     assertThat(server.has(a)).isTrue(); // used now: b is older
-    assertThat(Carry.statement(server, c, 2)).isEqualTo(new Carry.Bringing(List.of(b), true));
-    assertThat(Carry.statement(server, a, 2).parse()).isFalse();
+    assertThat(StateDiff.prepareSteps(server, c, 2))
+        .isEqualTo(new StateDiff.PrepareSteps(List.of(b), true));
+    assertThat(StateDiff.prepareSteps(server, a, 2).parse()).isFalse();
     assertThat(Prepared.of("SELECT 'a'", new byte[2])).isSameAs(a);
     assertThat(a.name()).startsWith(Prepared.PREFIX).isNotEqualTo(b.name()).hasSize(35);
   }
