--- a/src/main/java/crankspar/pooling/OptionsChange.java
+++ b/src/main/java/crankspar/pooling/OptionsChange.java
@@ -19,16 +19,16 @@
     PMap<String, String> requiredValues = required.values();
     PMap<String, String> all = current.statementOptions().values();
     PMap<String, String> session = StatementOptions.of(current.session()).values();
-    var after = new ArrayList<String>(Carry.changes(requiredValues, session));
+    var after = new ArrayList<String>(StateDiff.optionChanges(requiredValues, session));
     for (Map.Entry<String, String> e : new TreeMap<>(current.local()).entrySet()) {
       String name = e.getKey();
       boolean affectsParsing = all.containsKey(name);
       boolean changed =
           !e.getValue().equals(requiredValues.get(name)) || !e.getValue().equals(session.get(name));
       if (affectsParsing && changed) {
-        after.add(Carry.setLocal(name, e.getValue()));
+        after.add(StateDiff.setLocal(name, e.getValue()));
       }
     }
-    return new OptionsChange(Carry.changes(all, requiredValues), after);
+    return new OptionsChange(StateDiff.optionChanges(all, requiredValues), after);
   }
 }
