--- a/src/main/java/crankspar/config/PoolingReader.java
+++ b/src/main/java/crankspar/config/PoolingReader.java
@@ -68,17 +68,17 @@
     Setup.Limits d = Setup.Limits.DEFAULT;
     var limits =
         new Setup.Limits(
-            l.count("clients", d.clients(), 1, 100_000),
-            l.count("waiting", d.waiting(), 0, 100_000),
-            l.millis("login", d.login(), 50, 600_000),
-            l.count("statements", d.statements(), 1, 100_000),
-            l.bytes("statement-bytes", d.statementBytes(), 1024, 1 << 28),
-            l.count("server-statements", d.serverStatements(), 1, 100_000),
-            l.bytes("buffers", d.buffers(), 64 * 1024, 1 << 30),
-            l.millis("idle-in-transaction", d.idleInTransaction(), 100, DAY),
-            l.millis("transaction", d.transaction(), 100, DAY),
-            l.millis("drain", d.drain(), 0, DAY),
-            l.millis("cancel", d.cancel(), 50, 60_000));
+            l.count("clients", d.maxClients(), 1, 100_000),
+            l.count("waiting", d.maxWaiting(), 0, 100_000),
+            l.millis("login", d.loginTimeout(), 50, 600_000),
+            l.count("statements", d.maxStatements(), 1, 100_000),
+            l.bytes("statement-bytes", d.maxStatementBytes(), 1024, 1 << 28),
+            l.count("server-statements", d.maxServerStatements(), 1, 100_000),
+            l.bytes("buffers", d.maxBufferedBytes(), 64 * 1024, 1 << 30),
+            l.millis("idle-in-transaction", d.idleInTransactionTimeout(), 100, DAY),
+            l.millis("transaction", d.transactionTimeout(), 100, DAY),
+            l.millis("drain", d.drainTimeout(), 0, DAY),
+            l.millis("cancel", d.cancelTimeout(), 50, 60_000));
     l.done();
     return limits;
   }
@@ -99,14 +99,14 @@
     Router.RequestClass main = d.word("class", write, classes);
     String readOnly = readClass(d, "read-only-class", classes);
     String select = readClass(d, "select-class", classes);
-    var users = new LinkedHashMap<String, Setup.User>();
+    var users = new LinkedHashMap<String, Setup.UserSettings>();
     boolean anySession = mode == Setup.Mode.SESSION;
     boolean anyUser = d.flag("any-user", !d.has("users"));
     for (Map.Entry<String, Section> e : d.parts("users").entrySet()) {
       Section u = e.getValue();
       Setup.Mode own = u.has("mode") ? u.word("mode", "transaction", MODES) : null;
       anySession |= own == Setup.Mode.SESSION;
-      users.put(e.getKey(), new Setup.User(own, u.count("places", 0, 0, 10_000)));
+      users.put(e.getKey(), new Setup.UserSettings(own, u.count("places", 0, 0, 10_000)));
       u.done();
     }
     if (anySession
@@ -118,20 +118,20 @@
               + ", allowed in mode session is a class without a bound on its age: one connection"
               + " cannot keep it");
     }
-    Setup.Places p = Setup.Places.DEFAULT;
+    Setup.PoolLimits p = Setup.PoolLimits.DEFAULT;
     Section at = d.partOrEmpty("places");
     var places =
-        new Setup.Places(
-            at.count("most", p.most(), 1, 10_000),
-            at.count("least", p.least(), 0, 10_000),
+        new Setup.PoolLimits(
+            at.count("most", p.maxSize(), 1, 10_000),
+            at.count("least", p.minIdle(), 0, 10_000),
             at.count("reserve", p.reserve(), 0, 10_000),
             at.millis("reserve-after", p.reserveAfter(), 0, 600_000),
-            at.millis("lifetime", p.lifetime(), 100, 30 * DAY),
-            at.millis("idle", p.idle(), 100, DAY));
-    if (places.least() > places.most()) {
+            at.millis("lifetime", p.maxLifetime(), 100, 30 * DAY),
+            at.millis("idle", p.idleTimeout(), 100, DAY));
+    if (places.minIdle() > places.maxSize()) {
       throw at.bad(
           "least",
-          "found " + places.least() + ", allowed is at most places.most, " + places.most());
+          "found " + places.minIdle() + ", allowed is at most places.most, " + places.maxSize());
     }
     at.done();
     d.done();
--- a/src/main/java/crankspar/daemon/OperatorCalls.java
+++ b/src/main/java/crankspar/daemon/OperatorCalls.java
@@ -83,7 +83,7 @@
       parts.auditing.counts().forEach((name, n) -> all.add(Figure.count(name, n)));
     }
     if (serving && parts.pooling != null) {
-      parts.pooling.figures().forEach((name, n) -> all.add(Figure.gauge(name, n)));
+      parts.pooling.gauges().forEach((name, n) -> all.add(Figure.gauge(name, n)));
     }
     all.add(Figure.gauge("memory_peak_kib", ProcessMemory.peak()));
     all.add(Figure.gauge("loop_lag_ms", Math.round(parts.loop.recentLag())));
--- a/src/main/java/crankspar/daemon/Reload.java
+++ b/src/main/java/crankspar/daemon/Reload.java
@@ -25,7 +25,7 @@
     }
     Operator.Pooling pools = operator == null ? null : operator.pooling();
     if (parts.pooling != null && pools != null) {
-      parts.pooling.set(pools.setup());
+      parts.pooling.reload(pools.setup());
       move(parts, Fronts.POOLING, pools.discovery());
     }
     if (parts.auditing != null) {
--- a/src/main/java/crankspar/pooling/BatchCollector.java
+++ b/src/main/java/crankspar/pooling/BatchCollector.java
@@ -96,7 +96,8 @@
     String user = client.user();
     try {
       Route.Way way =
-          desk.route().way(database.as(user), batch.text(), batch.statements(), client.session());
+          desk.route()
+              .way(database.forUser(user), batch.text(), batch.statements(), client.session());
       client.ask(new Opening(client, opening, whole, way, batch.onlyBegins(), database.mode(user)));
     } catch (Route.Refused e) {
       client.reject(e.code, e.getMessage(), whole);
--- a/src/main/java/crankspar/pooling/Carry.java
+++ b/src/main/java/crankspar/pooling/Carry.java
@@ -121,6 +121,6 @@
   static Bringing statement(ServerState server, Prepared statement, int most) {
     return server.has(statement)
         ? Bringing.NOTHING
-        : new Bringing(new ArrayList<>(server.beyond(Math.max(0, most - 1))), true);
+        : new Bringing(new ArrayList<>(server.leastRecentlyUsed(Math.max(0, most - 1))), true);
   }
 }
--- a/src/main/java/crankspar/pooling/Console.java
+++ b/src/main/java/crankspar/pooling/Console.java
@@ -10,7 +10,7 @@
  * RESUME.
  */
 final class Console {
-  private static final int ROWS_MOST = 10_000;
+  private static final int MAX_ROWS = 10_000;
 
   private final PoolingFront front;
 
@@ -54,7 +54,7 @@
   private static List<Frame> table(String tag, List<String> columns, List<List<String>> rows) {
     var all = new ArrayList<Frame>(rows.size() + 2);
     all.add(Frame.columns(columns));
-    rows.stream().limit(ROWS_MOST).forEach(r -> all.add(Frame.row(r)));
+    rows.stream().limit(MAX_ROWS).forEach(r -> all.add(Frame.row(r)));
     all.add(Frame.complete(tag));
     return all;
   }
@@ -69,9 +69,9 @@
 
   private List<Frame> pools() {
     var rows = new ArrayList<List<String>>();
-    new TreeMap<>(front.places())
+    new TreeMap<>(front.queues())
         .forEach(
-            (name, at) -> {
+            (name, queue) -> {
               Setup.Database d = front.database(name);
               if (d == null) {
                 return;
@@ -86,7 +86,7 @@
                     front.servers().connections().stream()
                         .filter(s -> s.key().equals(key) && s.state() == ConnectionState.IDLE)
                         .count();
-                long mine =
+                long clientCount =
                     front.clients().stream()
                         .filter(c -> name.equals(c.databaseName()) && user.equals(c.user()))
                         .count();
@@ -95,14 +95,14 @@
                         name,
                         user,
                         text(d.mode(user)).toLowerCase(Locale.ROOT),
-                        text(mine),
-                        text(at.held(user)),
-                        text(at.waiting(user)),
+                        text(clientCount),
+                        text(queue.held(user)),
+                        text(queue.waiting(user)),
                         text(front.servers().open(key)),
                         text(idle),
-                        text(d.places().most()),
-                        ms(at.longestWait()),
-                        text(at.paused())));
+                        text(d.poolLimits().maxSize()),
+                        ms(queue.longestWait()),
+                        text(queue.paused())));
               }
             });
     return table(
@@ -168,9 +168,9 @@
               s.key().pool(),
               s.key().user(),
               text(s.state()).toLowerCase(Locale.ROOT),
-              ms(now - s.since()),
+              ms(now - s.stateSince()),
               ms(now - s.openedAt()),
-              text(s.sessionState().statements()),
+              text(s.sessionState().statementCount()),
               text(s.sessionState().options().size()),
               text(s.lease() == null ? 'I' : s.lease().status()),
               s.opening() == null ? "" : text(s.opening().client.process())));
@@ -197,7 +197,7 @@
     var known = new TreeMap<String, Prepared>();
     for (Server s : front.servers().connections()) {
       s.sessionState()
-          .all()
+          .statementsByName()
           .values()
           .forEach(
               p -> {
@@ -240,9 +240,9 @@
                         d.requestClass(),
                         text(d.readOnlyClass()),
                         text(d.selectClass()),
-                        text(d.places().most()),
-                        text(d.places().reserve()),
-                        text(front.places().get(name).paused()))));
+                        text(d.poolLimits().maxSize()),
+                        text(d.poolLimits().reserve()),
+                        text(front.queues().get(name).paused()))));
     return table(
         "SHOW",
         List.of(
--- a/src/main/java/crankspar/pooling/Exchange.java
+++ b/src/main/java/crankspar/pooling/Exchange.java
@@ -56,7 +56,8 @@
     this.refused = refused;
     projected = new ProjectedOptions(client.sessionOptions());
     names =
-        new StatementNames(client, server, projected, batch, limits.serverStatements(), this::send);
+        new StatementNames(
+            client, server, projected, batch, limits.maxServerStatements(), this::send);
     serverReplies = new ServerReplies(client, server, replies, batch, projected, progress);
   }
 
@@ -244,15 +245,15 @@
 
   private boolean tooMany(int bytes) {
     boolean over =
-        client.statements() >= limits.statements()
-            || client.bytes() + bytes > limits.statementBytes();
+        client.statements() >= limits.maxStatements()
+            || client.bytes() + bytes > limits.maxStatementBytes();
     if (over) {
       refuse(
           "53400",
           "more than "
-              + limits.statements()
+              + limits.maxStatements()
               + " statements or "
-              + limits.statementBytes()
+              + limits.maxStatementBytes()
               + " bytes of them are prepared");
     }
     return over;
@@ -352,7 +353,7 @@
     serverReplies.querySent();
     executions += statements.size();
     client.close("");
-    server.unnamed(null); // a simple query does away with the unnamed statement
+    server.setUnnamed(null); // a simple query does away with the unnamed statement
     if (statements.size() == 1
         && statements.get(0).kind() == Kind.DEALLOCATE
         && client.prepared(statements.get(0).name()) != null) {
--- a/src/main/java/crankspar/pooling/IdleList.java
+++ b/src/main/java/crankspar/pooling/IdleList.java
@@ -13,7 +13,7 @@
    * One idle connection: since when it is open, since when idle (ms), and its own jitter from 0 to
    * 1.
    */
-  interface Idle {
+  interface IdleConnection {
     double openedAt();
 
     double idleSince();
@@ -25,7 +25,7 @@
    * Lifetimes differ by up to this share either way: connections opened together do not end
    * together.
    */
-  static final double JITTER = 0.1;
+  static final double LIFETIME_JITTER = 0.1;
 
   private IdleList() {}
 
@@ -33,14 +33,16 @@
    * The one nearest to a client's state, of these the one used last: its caches are warm and the
    * others may age.
    */
-  static <T extends Idle> T choose(List<T> idle, ToIntFunction<T> distance) {
+  static <T extends IdleConnection> T choose(List<T> idle, ToIntFunction<T> distance) {
     T best = null;
-    int least = Integer.MAX_VALUE;
-    for (T one : idle) {
-      int d = distance.applyAsInt(one);
-      if (best == null || d < least || d == least && one.idleSince() > best.idleSince()) {
-        best = one;
-        least = d;
+    int bestDistance = Integer.MAX_VALUE;
+    for (T candidate : idle) {
+      int candidateDistance = distance.applyAsInt(candidate);
+      if (best == null
+          || candidateDistance < bestDistance
+          || candidateDistance == bestDistance && candidate.idleSince() > best.idleSince()) {
+        best = candidate;
+        bestDistance = candidateDistance;
       }
     }
     return best;
@@ -50,20 +52,23 @@
    * The idle ones to be closed now. Past its lifetime one goes in any case, past its idle time
    * beyond the least.
    */
-  static <T extends Idle> List<T> expired(List<T> idle, Setup.Places places, int open, double now) {
-    var all = new ArrayList<T>();
-    int left = open;
-    for (T one : idle) {
-      if (old(one, places, now) || left > places.least() && now - one.idleSince() > places.idle()) {
-        all.add(one);
-        left--;
+  static <T extends IdleConnection> List<T> expired(
+      List<T> idle, Setup.PoolLimits limits, int open, double now) {
+    var expired = new ArrayList<T>();
+    int remaining = open;
+    for (T connection : idle) {
+      if (pastLifetime(connection, limits, now)
+          || remaining > limits.minIdle() && now - connection.idleSince() > limits.idleTimeout()) {
+        expired.add(connection);
+        remaining--;
       }
     }
-    return all;
+    return expired;
   }
 
   /** Whether a connection is past its lifetime, which is its own. */
-  static boolean old(Idle one, Setup.Places places, double now) {
-    return now - one.openedAt() > places.lifetime() * (1 - JITTER + 2 * JITTER * one.jitter());
+  static boolean pastLifetime(IdleConnection connection, Setup.PoolLimits limits, double now) {
+    return now - connection.openedAt()
+        > limits.maxLifetime() * (1 - LIFETIME_JITTER + 2 * LIFETIME_JITTER * connection.jitter());
   }
 }
--- a/src/main/java/crankspar/pooling/Lease.java
+++ b/src/main/java/crankspar/pooling/Lease.java
@@ -11,7 +11,7 @@
  * One client's use of a server connection, from its opening batch to the end of its transaction or
  * session: what is sent, which answers are held back while the batch may still be asked elsewhere,
  * and how the attempt ends. Its connection is {@link Server}; how it is left to the next client
- * {@link Release} decides.
+ * {@link ReleaseAction} decides.
  */
 final class Lease {
   /**
@@ -55,7 +55,7 @@
             server.sessionState(),
             progress,
             server.pool().limits(),
-            server.pool().refused());
+            server.pool().refusedPins());
   }
 
   Opening opening() {
@@ -94,7 +94,7 @@
 
   /** Whether the server is read: not while what it gives has nowhere to go. */
   void readServer(boolean on) {
-    server.reading(on);
+    server.setReading(on);
   }
 
   /** Whether it is between two transactions of the client that keeps it. */
@@ -147,7 +147,8 @@
         .reported()
         .forEach(
             (name, value) -> {
-              if (!ServerNotes.NAMES.contains(name) && !value.equals(client.told().get(name))) {
+              if (!ReportedStatus.PARAMETERS.contains(name)
+                  && !value.equals(client.told().get(name))) {
                 hold(Frame.parameter(name, value));
               }
             });
@@ -245,7 +246,7 @@
     List<Frame> shown = held;
     held = new ArrayList<>(0);
     if (!listener.held(new Answer(shown, this), note) && active()) {
-      server.fail("nobody waits for it any more");
+      server.close("nobody waits for it any more");
     }
   }
 
@@ -268,7 +269,7 @@
     boolean over = exchange.status() == 'I';
     SessionState client = opening.client.session();
     if (over && progress.writes()) {
-      double position = server.notes().position();
+      double position = server.reportedStatus().position();
       client.committedAt(Double.isNaN(position) ? server.pool().now() : position);
     }
     if (!kept && over && beginAgain()) {
@@ -330,13 +331,13 @@
   }
 
   private Note note() {
-    return new Note(server.notes().role(), server.notes().position());
+    return new Note(server.reportedStatus().role(), server.reportedStatus().position());
   }
 
   // ---- Its end.
   /** How its connection is left where it ends now; {@code clientLeft} where its session ends. */
-  Release.Condition condition(boolean clientLeft, boolean unwanted, int cancelsPending) {
-    return new Release.Condition(
+  ReleaseAction.Condition condition(boolean clientLeft, boolean unwanted, int cancelsPending) {
+    return new ReleaseAction.Condition(
         exchange.answersInDoubt(),
         exchange.serverBatchOpen(),
         exchange.status(),
--- a/src/main/java/crankspar/pooling/Login.java
+++ b/src/main/java/crankspar/pooling/Login.java
@@ -92,7 +92,7 @@
       welcome(CONSOLE_REPORTS, parameters);
     } else if (database == null) {
       client.fatal("3D000", "database \"" + name + "\" is not set up here");
-    } else if (!database.takes(user)) {
+    } else if (!database.allows(user)) {
       client.fatal("28000", "user \"" + user + "\" is not set up for database \"" + name + "\"");
     } else {
       start(database, user, parameters);
@@ -118,7 +118,7 @@
   /** The first client of a key waits until a server has told what clients are welcomed with. */
   private void learn(Setup.Database database, String user, Map<String, String> parameters) {
     try {
-      Route.Way way = desk.route().way(database.as(user), "", List.of(), client.session());
+      Route.Way way = desk.route().way(database.forUser(user), "", List.of(), client.session());
       pending = parameters;
       client.ask(new Opening(client, List.of(), true, way, false, Setup.Mode.TRANSACTION));
     } catch (Route.Refused e) {
@@ -148,7 +148,7 @@
     PMap<String, String> told = reported;
     for (Map.Entry<String, String> e : reported.entrySet()) {
       String value = own.getOrDefault(e.getKey().toLowerCase(Locale.ROOT), e.getValue());
-      if (!ServerNotes.NAMES.contains(e.getKey())) {
+      if (!ReportedStatus.PARAMETERS.contains(e.getKey())) {
         frames.add(Frame.parameter(e.getKey(), value));
         told = value.equals(e.getValue()) ? told : told.plus(e.getKey(), value);
       }
--- a/src/main/java/crankspar/pooling/PoolingFront.java
+++ b/src/main/java/crankspar/pooling/PoolingFront.java
@@ -32,40 +32,40 @@
  * the module decides, under the same rules as on every front.
  */
 public final class PoolingFront implements Front, ClientDesk {
-    private static final double SWEEP = 50;
-    private static final double REOPEN = 50;
+    private static final double SWEEP_INTERVAL_MS = 50;
+    private static final double LISTEN_RETRY_MS = 50;
 
     private final EventLoop loop;
     private final Counters counters;
     private final Route route;
     private final Pooler<Opening, Answer> pooler;
-    private final Servers servers;
+    private final ServerConnections servers;
     private final Console console = new Console(this);
     private final SecureRandom secrets = new SecureRandom();
     private final Map<Integer, Client> clients = new LinkedHashMap<>();
-    private final Set<Client> unstarted = new LinkedHashSet<>();
-    private final Map<String, Places> places = new HashMap<>();
-    private final Map<Long, Client> tickets = new HashMap<>();
+    private final Set<Client> loggingIn = new LinkedHashSet<>();
+    private final Map<String, AdmissionQueue> queues = new HashMap<>();
+    private final Map<Long, Client> byTicket = new HashMap<>();
     private final CancelRouter cancels;
     private Setup setup;
     private InetSocketAddress address;
     private Listener listener;
     private int nextProcess;
     private long nextTicket;
-    private long held;
+    private long bufferedBytes;
     private boolean draining, stopping;
 
     private PoolingFront(EventLoop loop, Router.Settings settings, Counters counters, Pooler<Opening, Answer> pooler,
-                         Servers servers, Setup setup) {
+                         ServerConnections servers, Setup setup) {
         this.loop = loop;
         this.counters = counters;
         this.pooler = pooler;
-        cancels = new CancelRouter(loop, counters, "pooling_cancels", this::cancelHere);
+        cancels = new CancelRouter(loop, counters, "pooling_cancels", this::cancelLocal);
         this.servers = servers;
         this.setup = setup;
         route = new Route(settings);
-        setup.databases().values().forEach(d -> places.put(d.name(), new Places(d, setup.limits().waiting())));
-        loop.after(SWEEP, this::sweep);
+        setup.databases().values().forEach(d -> queues.put(d.name(), new AdmissionQueue(d, setup.limits().maxWaiting())));
+        loop.after(SWEEP_INTERVAL_MS, this::sweep);
     }
 
     /** A front with its core: the caller feeds both with members. */
@@ -73,48 +73,48 @@
 
     /** Session marks are kept here, by client, and carried with each request; {@code servers} bounds connections to servers. */
     public static Parts build(EventLoop loop, Router.Settings settings, Counters counters, Ports.Discovery discovery,
-                              BiFunction<Router.Settings, Router.Actions, Router> maker, Setup setup, int servers) {
-        var carried = new Router.Settings(settings.seed(), settings.zone(), settings.zones(), settings.me(), settings.siblings(),
+                              BiFunction<Router.Settings, Router.Actions, Router> routerFactory, Setup setup, int servers) {
+        var coreSettings = new Router.Settings(settings.seed(), settings.zone(), settings.zones(), settings.me(), settings.siblings(),
                 settings.round(), settings.askDiscovery(), settings.classes(), settings.behind(), settings.patience(),
                 settings.roleInList(), Router.SessionMarks.CARRIED, settings.tellsPosition(), settings.commitWaits(),
                 settings.countedFrom(), settings.reports(), settings.rules(), settings.limits(), settings.prices());
         var probes = new Pool<>(loop, counters, () -> PgFront.dial(counters), PgFront.probe(), settings.limits().dialTimeout(),
                 settings.limits().connIdle(), Math.max(16, servers / 10));
-        var connections = new Servers(loop, counters, probes, setup, settings.limits().dialTimeout(), servers,
+        var connections = new ServerConnections(loop, counters, probes, setup, settings.limits().dialTimeout(), servers,
                 new java.util.SplittableRandom(settings.seed()));
-        var core = new Pooler<>(carried, loop, connections, discovery, counters, maker);
-        return new Parts(new PoolingFront(loop, carried, counters, core, connections, setup), core, connections);
+        var core = new Pooler<>(coreSettings, loop, connections, discovery, counters, routerFactory);
+        return new Parts(new PoolingFront(loop, coreSettings, counters, core, connections, setup), core, connections);
     }
 
     public InetSocketAddress listen(InetSocketAddress at) throws IOException {
-        listener = loop.listen(at, this::admit);
+        listener = loop.listen(at, this::accept);
         address = listener.address();
         return address;
     }
 
     /** Changed settings, without losing a client; what they say of the listener holds from the next start on. */
-    public void set(Setup changed) {
+    public void reload(Setup changed) {
         setup = changed;
-        servers.set(changed);
+        servers.configure(changed);
         changed.databases().values().forEach(d -> {
-            Places known = places.get(d.name());
+            AdmissionQueue known = queues.get(d.name());
             if (known == null) {
-                places.put(d.name(), new Places(d, changed.limits().waiting()));
+                queues.put(d.name(), new AdmissionQueue(d, changed.limits().maxWaiting()));
             } else {
-                known.set(d, changed.limits().waiting());
-                effects(known.tick(loop.now()));
+                known.configure(d, changed.limits().maxWaiting());
+                apply(known.expireAndGrant(loop.now()));
             }
         });
         counters.add("pooling_reloads");
     }
 
     /** A handler for a client's connection; beyond the bound one that only says so. */
-    private ConnectionHandler admit() {
-        if (clients.size() >= setup.limits().clients()) {
+    private ConnectionHandler accept() {
+        if (clients.size() >= setup.limits().maxClients()) {
             counters.add("pooling_clients_refused");
             return new ConnectionHandler() {
                 @Override public void opened(Connection out) {
-                    out.write(Frame.error("FATAL", "53300", "more than " + setup.limits().clients() + " clients", null).wire());
+                    out.write(Frame.error("FATAL", "53300", "more than " + setup.limits().maxClients() + " clients", null).wire());
                     out.finish();
                 }
                 @Override public void received(java.nio.ByteBuffer in) { in.position(in.limit()); }
@@ -127,7 +127,7 @@
         } while (clients.containsKey(nextProcess));
         var client = new Client(this, nextProcess, secrets.nextInt());
         clients.put(nextProcess, client);
-        unstarted.add(client);
+        loggingIn.add(client);
         return client;
     }
 
@@ -143,35 +143,35 @@
     @Override public List<Frame> console(String sql) { return console.answer(sql); }
 
     @Override public boolean hold(int more) {
-        held += more;
-        return more <= 0 || held <= setup.limits().buffers();
+        bufferedBytes += more;
+        return more <= 0 || bufferedBytes <= setup.limits().maxBufferedBytes();
     }
 
     @Override public void ask(Client client, Opening opening) {
         client.ticket = ++nextTicket;
-        tickets.put(client.ticket, client);
+        byTicket.put(client.ticket, client);
         double deadline = client.askedAt() + opening.way.ttl();
-        effects(places.get(client.databaseName()).ask(loop.now(), client.user(), client.ticket, deadline));
+        apply(queues.get(client.databaseName()).acquire(loop.now(), client.user(), client.ticket, deadline));
     }
 
-    private void effects(List<Places.Effect> effects) {
-        for (Places.Effect e : effects) {
-            Client client = tickets.get(e.ticket());
+    private void apply(List<AdmissionQueue.Decision> decisions) {
+        for (AdmissionQueue.Decision e : decisions) {
+            Client client = byTicket.get(e.ticket());
             if (client == null) {
                 continue;
             }
-            if (e instanceof Places.Effect.Refused r) {
-                tickets.remove(e.ticket());
+            if (e instanceof AdmissionQueue.Decision.Refused r) {
+                byTicket.remove(e.ticket());
                 client.ticket = 0;
                 counters.add("pooling_waits_over");
-                client.refused(r.why());
-            } else if (e instanceof Places.Effect.Granted) {
-                take(client);
+                client.refused(r.reason());
+            } else if (e instanceof AdmissionQueue.Decision.Granted) {
+                submit(client);
             }
         }
     }
 
-    private void take(Client client) {
+    private void submit(Client client) {
         Opening opening = client.opening();
         Route.Way way = opening.way;
         client.placed();
@@ -186,16 +186,16 @@
         long ticket = client.ticket;
         client.ticket = 0;
         if (ticket != 0) {
-            tickets.remove(ticket);
-            Places at = places.get(client.databaseName());
-            at.leave(client.user(), ticket);
+            byTicket.remove(ticket);
+            AdmissionQueue at = queues.get(client.databaseName());
+            at.cancel(client.user(), ticket);
             // Later: who is served next must not run inside this one's end.
-            loop.run(() -> effects(at.free(loop.now(), ticket)));
+            loop.run(() -> apply(at.release(loop.now(), ticket)));
         }
     }
 
     @Override public void gone(Client client) {
-        unstarted.remove(client);
+        loggingIn.remove(client);
         String request = client.request;
         client.request = null;
         if (request != null) {
@@ -206,11 +206,11 @@
 
     @Override public void closed(Client client) {
         clients.remove(client.process());
-        unstarted.remove(client);
+        loggingIn.remove(client);
     }
 
     /** Guards against guessed keys: the secret is as wide as the protocol allows, and compared whole. */
-    private boolean cancelHere(int process, int secret) {
+    private boolean cancelLocal(int process, int secret) {
         Client client = clients.get(process);
         boolean known = client != null && client.secret() == secret;
         if (known) {
@@ -229,11 +229,11 @@
     private void sweep() {
         double now = loop.now();
         Setup.Limits limits = setup.limits();
-        places.values().forEach(p -> effects(p.tick(now)));
-        for (Client c : new ArrayList<>(unstarted)) {
+        queues.values().forEach(p -> apply(p.expireAndGrant(now)));
+        for (Client c : new ArrayList<>(loggingIn)) {
             if (c.state() != ClientState.LOGIN) {
-                unstarted.remove(c);
-            } else if (now - c.connectedAt() > limits.login()) {
+                loggingIn.remove(c);
+            } else if (now - c.connectedAt() > limits.loginTimeout()) {
                 counters.add("pooling_logins_late");
                 c.fatal("08P01", "no whole start came in time");
             }
@@ -245,45 +245,45 @@
             }
             Client client = lease.opening().client;
             boolean bounded = lease.opening().mode == Setup.Mode.TRANSACTION;
-            if (now - lease.quietSince() > limits.idleInTransaction()) {
+            if (now - lease.quietSince() > limits.idleInTransactionTimeout()) {
                 counters.add("pooling_idle_in_transaction");
                 client.fatal("25P03", "idle in transaction for longer than it may");
-            } else if (bounded && lease.inTransaction() && now - lease.transactionSince() > limits.transaction()) {
+            } else if (bounded && lease.inTransaction() && now - lease.transactionSince() > limits.transactionTimeout()) {
                 counters.add("pooling_transactions_late");
                 client.fatal("25P04", "the transaction takes longer than it may");
             }
         }
-        loop.after(SWEEP, this::sweep);
+        loop.after(SWEEP_INTERVAL_MS, this::sweep);
     }
 
     // ---- For the console and for figures.
     Collection<Client> clients() { return clients.values(); }
-    Servers servers() { return servers; }
-    Map<String, Places> places() { return places; }
+    ServerConnections servers() { return servers; }
+    Map<String, AdmissionQueue> queues() { return queues; }
     Counters counters() { return counters; }
 
     /** Present values for operators, by name. */
-    public Map<String, Long> figures() {
+    public Map<String, Long> gauges() {
         var all = new LinkedHashMap<String, Long>();
         all.put("pooling_clients", (long) clients.size());
-        all.put("pooling_clients_waiting", places.values().stream().mapToLong(Places::waiting).sum());
-        all.put("pooling_places_held", places.values().stream().mapToLong(Places::held).sum());
+        all.put("pooling_clients_waiting", queues.values().stream().mapToLong(AdmissionQueue::waiting).sum());
+        all.put("pooling_places_held", queues.values().stream().mapToLong(AdmissionQueue::held).sum());
         all.put("pooling_servers", (long) servers.connections().size());
         all.put("pooling_servers_idle", servers.connections().stream().filter(s -> s.state() == ConnectionState.IDLE).count());
-        all.put("pooling_buffers_bytes", held);
+        all.put("pooling_buffers_bytes", bufferedBytes);
         return all;
     }
 
     /** Nothing new begins at this database until it resumes; false where it is not known. */
     boolean pause(String name, boolean on) {
-        Places at = places.get(name);
+        AdmissionQueue at = queues.get(name);
         if (at == null) {
             return false;
         }
         if (on) {
             at.pause();
         } else {
-            effects(at.resume(loop.now()));
+            apply(at.resume(loop.now()));
         }
         return true;
     }
@@ -302,11 +302,11 @@
             return;
         }
         try {
-            listener = loop.listen(address, this::admit);
+            listener = loop.listen(address, this::accept);
             draining = false;
         } catch (IOException e) {
             counters.add("pooling_listener_failures");
-            loop.after(REOPEN, this::resume);
+            loop.after(LISTEN_RETRY_MS, this::resume);
         }
     }
 
--- a/src/main/java/crankspar/pooling/Release.java
+++ b/src/main/java/crankspar/pooling/ReleaseAction.java
@@ -5,7 +5,7 @@
  * All that must be so before another client may have it is named in {@link Condition}; nothing else
  * makes a connection free.
  */
-enum Release {
+enum ReleaseAction {
   /** Free for any client. */
   REUSE,
   /** Kept apart: a cancel that was sent for its last client may still reach it. */
@@ -32,30 +32,33 @@
    * @param cancelsPending cancels that were sent for its client and have not passed
    */
   record Condition(
-      boolean answersOwed,
+      boolean answersPending,
       boolean batchOpen,
-      char status,
-      boolean sessionState,
+      char transactionStatus,
+      boolean sessionChanged,
       boolean libraryLoaded,
-      boolean unwanted,
-      int cancelsPending) {
+      boolean mustClose,
+      int pendingCancels) {
 
     /** One that no client has used since it was last clean. */
-    static Condition clean(boolean unwanted, int cancelsPending) {
-      return new Condition(false, false, 'I', false, false, unwanted, cancelsPending);
+    static Condition clean(boolean mustClose, int pendingCancels) {
+      return new Condition(false, false, 'I', false, false, mustClose, pendingCancels);
     }
   }
 
-  static Release of(Condition at) {
-    if (at.unwanted() || at.answersOwed() || at.batchOpen() || at.libraryLoaded()) {
+  static ReleaseAction forCondition(Condition condition) {
+    if (condition.mustClose()
+        || condition.answersPending()
+        || condition.batchOpen()
+        || condition.libraryLoaded()) {
       return CLOSE;
     }
-    if (at.sessionState()) {
+    if (condition.sessionChanged()) {
       return RESET_SESSION;
     }
-    if (at.status() != 'I') {
+    if (condition.transactionStatus() != 'I') {
       return ROLL_BACK;
     }
-    return at.cancelsPending() > 0 ? AWAIT_CANCEL : REUSE;
+    return condition.pendingCancels() > 0 ? AWAIT_CANCEL : REUSE;
   }
 }
--- a/src/main/java/crankspar/pooling/ServerNotes.java
+++ b/src/main/java/crankspar/pooling/ReportedStatus.java
@@ -5,9 +5,9 @@
 import java.util.regex.Pattern;
 
 /** What a server has told of itself in parameters that are for the pooler, not for its clients. */
-final class ServerNotes {
+final class ReportedStatus {
   /** The parameters' names; clients do not hear of them. */
-  static final Set<String> NAMES = Set.of("role", "applied_ms", "load", "in_hot_standby");
+  static final Set<String> PARAMETERS = Set.of("role", "applied_ms", "load", "in_hot_standby");
 
   private static final Pattern PLAIN_NUMBER = Pattern.compile("[0-9]{1,16}(\\.[0-9]{0,6})?");
 
@@ -23,8 +23,8 @@
     String name = r.text();
     String value = r.text();
     read(name, value);
-    if (sessionState != null && !NAMES.contains(name)) {
-      sessionState.report(name, value);
+    if (sessionState != null && !PARAMETERS.contains(name)) {
+      sessionState.setReported(name, value);
     }
   }
 
--- a/src/main/java/crankspar/pooling/Server.java
+++ b/src/main/java/crankspar/pooling/Server.java
@@ -13,7 +13,7 @@
  * another, each a {@link Lease}; what a client leaves behind is rolled back and cleaned, or the
  * connection is closed, before anybody else has it. Its end is told exactly once.
  */
-final class Server implements ConnectionHandler, Ports.Call, IdleList.Idle {
+final class Server implements ConnectionHandler, Ports.Call, IdleList.IdleConnection {
   private final ServerPool pool;
   private final ServerKey key;
   private final String member;
@@ -21,19 +21,19 @@
   private final double jitter;
   private final ServerState sessionState = new ServerState();
   private final ServerLogin login = new ServerLogin();
-  private final ServerNotes notes = new ServerNotes();
-  private final Cleaning cleaning = new Cleaning();
+  private final ReportedStatus reportedStatus = new ReportedStatus();
+  private final ConnectionReset cleaning = new ConnectionReset();
   private final FrameDecoder decoder = new FrameDecoder(false);
-  private final Flow fromClient;
-  private SocketConnection stream;
+  private final Flow clientBacklog;
+  private SocketConnection socket;
   private Connection out;
   private ConnectionState state = ConnectionState.LOGIN;
-  private double since;
+  private double stateSince;
 
   /** Its client's use of it, or null. */
   private Lease lease;
 
-  private Frame carryError;
+  private Frame stateError;
 
   /** It takes no further transaction. */
   private boolean closing;
@@ -43,8 +43,8 @@
     this.key = key;
     this.member = member;
     this.jitter = jitter;
-    openedAt = since = pool.now();
-    fromClient =
+    openedAt = stateSince = pool.now();
+    clientBacklog =
         new Flow(
             reading -> {
               if (lease != null) {
@@ -75,8 +75,8 @@
   }
 
   /** What the server told of itself. */
-  ServerNotes notes() {
-    return notes;
+  ReportedStatus reportedStatus() {
+    return reportedStatus;
   }
 
   /** Its client's use of it, or null. */
@@ -94,8 +94,8 @@
     return login;
   }
 
-  double since() {
-    return since;
+  double stateSince() {
+    return stateSince;
   }
 
   boolean isClosing() {
@@ -108,7 +108,7 @@
   }
 
   /** Whether the server is read: not while what it gives has nowhere to go. */
-  void reading(boolean on) {
+  void setReading(boolean on) {
     out.reading(on);
   }
 
@@ -119,7 +119,7 @@
 
   @Override
   public double idleSince() {
-    return since;
+    return stateSince;
   }
 
   @Override
@@ -127,14 +127,14 @@
     return jitter;
   }
 
-  private void to(ConnectionState next) {
+  private void transitionTo(ConnectionState next) {
     state = next;
-    since = pool.now();
+    stateSince = pool.now();
   }
 
   /** Its driver, from the moment it is dialled. */
-  void stream(SocketConnection stream) {
-    this.stream = stream;
+  void setSocket(SocketConnection stream) {
+    this.socket = stream;
   }
 
   @Override
@@ -148,42 +148,42 @@
    * It has this one now; it begins as soon as the connection is welcomed and in the client's state,
    * within so long (ms).
    */
-  void serve(Opening opening, double within, Ports.AttemptListener<Answer> listener) {
-    lease = new Lease(this, opening, pool.now() + within, listener);
+  void assign(Opening opening, double timeout, Ports.AttemptListener<Answer> listener) {
+    lease = new Lease(this, opening, pool.now() + timeout, listener);
     opening.server = this;
     if (state == ConnectionState.IDLE) {
-      carry();
+      applyClientState();
     }
   }
 
-  private void carry() {
+  private void applyClientState() {
     Opening opening = lease.opening();
     String sql = opening.empty() ? null : Carry.settings(sessionState, opening.client.session());
     if (sql == null) {
-      to(ConnectionState.ACTIVE);
+      transitionTo(ConnectionState.ACTIVE);
       lease.start();
     } else {
-      to(ConnectionState.CARRYING);
-      carryError = null;
+      transitionTo(ConnectionState.CARRYING);
+      stateError = null;
       pool.count("pooling_carries", 1);
-      query(sql);
+      sendQuery(sql);
     }
   }
 
   /** A simple query of its own; it does away with the unnamed statement, as any does. */
-  private void query(String sql) {
-    sessionState.unnamed(null);
+  private void sendQuery(String sql) {
+    sessionState.setUnnamed(null);
     out.write(Frame.query(sql).wire());
   }
 
   /** Writes for its client, who is held back while too much waits. */
   void writeForClient(byte[] bytes, Runnable written) {
-    fromClient.queued(bytes.length);
+    clientBacklog.queued(bytes.length);
     out.write(
         bytes,
         bytes.length,
         () -> {
-          fromClient.left(bytes.length);
+          clientBacklog.left(bytes.length);
           written.run();
         });
   }
@@ -196,66 +196,66 @@
       for (Frame f = decoder.next();
           f != null && state != ConnectionState.CLOSED;
           f = decoder.next()) {
-        on(f);
+        onMessage(f);
       }
     } catch (Frame.Malformed e) {
       pool.count("pooling_server_malformed", 1);
-      fail("malformed: " + e.getMessage());
+      close("malformed: " + e.getMessage());
     }
   }
 
-  private void on(Frame f) throws Frame.Malformed {
+  private void onMessage(Frame f) throws Frame.Malformed {
     if (f.type() == 'S') {
-      notes.read(f, state == ConnectionState.ACTIVE ? null : sessionState);
+      reportedStatus.read(f, state == ConnectionState.ACTIVE ? null : sessionState);
     }
     switch (state) {
-      case LOGIN -> login(f);
-      case IDLE -> idle(f);
-      case CARRYING -> carrying(f);
+      case LOGIN -> onLoginMessage(f);
+      case IDLE -> onIdleMessage(f);
+      case CARRYING -> onStateApplied(f);
       case ACTIVE -> lease.fromServer(f);
-      case TESTED -> tested(f);
+      case TESTED -> onResetMessage(f);
       case CLOSED -> {}
     }
   }
 
-  private void login(Frame f) throws Frame.Malformed {
-    ServerLogin.Step step = login.take(f);
+  private void onLoginMessage(Frame f) throws Frame.Malformed {
+    ServerLogin.Step step = login.onMessage(f);
     if (step instanceof ServerLogin.Step.Refused refused) {
       if (lease != null) {
-        lease.opening().said = refused.said();
+        lease.opening().said = refused.error();
       }
-      fail(refused.why());
-    } else if (step instanceof ServerLogin.Step.Welcome) {
-      to(ConnectionState.IDLE);
-      pool.up(this);
+      close(refused.reason());
+    } else if (step instanceof ServerLogin.Step.Ready) {
+      transitionTo(ConnectionState.IDLE);
+      pool.connected(this);
       if (lease != null) {
-        carry();
+        applyClientState();
       } else {
         releaseClean();
       }
     }
   }
 
-  private void idle(Frame f) throws Frame.Malformed {
+  private void onIdleMessage(Frame f) throws Frame.Malformed {
     switch (f.type()) {
       case 'S', 'N', 'A' -> {}
-      case 'E' -> fail("ended by the server: " + f.fields().get('M'));
+      case 'E' -> close("ended by the server: " + f.fields().get('M'));
       default -> throw new Frame.Malformed("message type " + f.type() + " that nothing asked for");
     }
   }
 
-  private void carrying(Frame f) throws Frame.Malformed {
+  private void onStateApplied(Frame f) throws Frame.Malformed {
     if (f.type() == 'E') {
-      carryError = f;
+      stateError = f;
     } else if (f.type() == 'Z') {
-      to(ConnectionState.ACTIVE);
-      if (carryError == null) {
+      transitionTo(ConnectionState.ACTIVE);
+      if (stateError == null) {
         SessionState client = lease.opening().client.session();
-        sessionState.carried(client.options(), client.sqlPrepared());
+        sessionState.replaceSession(client.options(), client.sqlPrepared());
         lease.start();
       } else { // its client hears why, as though it had said so itself
         pool.count("pooling_carries_failed", 1);
-        lease.carryFailed(carryError);
+        lease.carryFailed(stateError);
       }
     }
   }
@@ -264,53 +264,54 @@
   /** The transaction is over, and the connection may go to another client. */
   void finish(AttemptEnd<Answer> how) {
     Lease ended = lease;
-    Release.Condition condition = ended.condition(false, unwanted(), cleaning.cancelsPending());
-    detach();
+    ReleaseAction.Condition condition =
+        ended.condition(false, mustClose(), cleaning.pendingCancels());
+    endLease();
     release(condition);
     ended.tell(how);
   }
 
-  private void detach() {
+  private void endLease() {
     lease = null;
     out.reading(true); // a slow client's answer is in its own queue by now
   }
 
-  private boolean unwanted() {
-    return closing || cleaning.doubted();
+  private boolean mustClose() {
+    return closing || cleaning.cancelInDoubt();
   }
 
   private void releaseClean() {
-    release(Release.Condition.clean(unwanted(), cleaning.cancelsPending()));
+    release(ReleaseAction.Condition.clean(mustClose(), cleaning.pendingCancels()));
   }
 
   /** The only way to become free; also taken once it has been cleaned. */
-  private void release(Release.Condition condition) {
-    switch (Release.of(condition)) {
-      case CLOSE -> fail("not fit for another client: " + condition);
-      case RESET_SESSION -> clean(true);
-      case ROLL_BACK -> clean(false);
-      case AWAIT_CANCEL -> to(ConnectionState.TESTED);
+  private void release(ReleaseAction.Condition condition) {
+    switch (ReleaseAction.forCondition(condition)) {
+      case CLOSE -> close("not fit for another client: " + condition);
+      case RESET_SESSION -> reset(true);
+      case ROLL_BACK -> reset(false);
+      case AWAIT_CANCEL -> transitionTo(ConnectionState.TESTED);
       case REUSE -> {
-        to(ConnectionState.IDLE);
-        pool.free(this);
+        transitionTo(ConnectionState.IDLE);
+        pool.idle(this);
       }
     }
   }
 
-  private void clean(boolean session) {
-    to(ConnectionState.TESTED);
+  private void reset(boolean resetSession) {
+    transitionTo(ConnectionState.TESTED);
     pool.count("pooling_cleaned", 1);
-    for (Sql.Statement query : cleaning.begin(session)) {
-      query(query.text());
-      sessionState.done(query, query.text(), StatementOptions.NONE);
+    for (Sql.Statement query : cleaning.begin(resetSession)) {
+      sendQuery(query.text());
+      sessionState.onCompleted(query, query.text(), StatementOptions.NONE);
     }
   }
 
-  private void tested(Frame f) throws Frame.Malformed {
-    switch (cleaning.take(f)) {
+  private void onResetMessage(Frame f) throws Frame.Malformed {
+    switch (cleaning.onMessage(f)) {
       case CLEAN -> releaseClean();
-      case FAILED -> fail("it does not come clean");
-      case WAITS -> {}
+      case FAILED -> close("it does not come clean");
+      case IN_PROGRESS -> {}
     }
   }
 
@@ -321,13 +322,13 @@
   }
 
   /** That cancel has passed; {@code sure} where the server itself ended its connection. */
-  void cancelPassed(boolean sure) {
-    cleaning.cancelPassed(sure);
-    if (state == ConnectionState.TESTED && cleaning.needsEmptyQuery()) {
-      if (cleaning.doubted()) {
-        fail("a cancel may still come");
+  void cancelFinished(boolean confirmed) {
+    cleaning.cancelFinished(confirmed);
+    if (state == ConnectionState.TESTED && cleaning.tryBeginEmptyQuery()) {
+      if (cleaning.cancelInDoubt()) {
+        close("a cancel may still come");
       } else {
-        query("");
+        sendQuery("");
       }
     }
   }
@@ -337,7 +338,7 @@
   void retire() {
     closing = true;
     switch (state) {
-      case IDLE, LOGIN, CARRYING, TESTED -> fail("its member drains or has left");
+      case IDLE, LOGIN, CARRYING, TESTED -> close("its member drains or has left");
       case ACTIVE -> {
         if (lease.between()) {
           lease.opening().client.fatal("57P01", "the server of this session drains");
@@ -361,40 +362,41 @@
     }
     lease.abandon();
     if (state == ConnectionState.ACTIVE && lease.kept()) {
-      Release.Condition condition = lease.condition(true, unwanted(), cleaning.cancelsPending());
-      if (Release.of(condition) != Release.CLOSE) {
-        detach();
+      ReleaseAction.Condition condition =
+          lease.condition(true, mustClose(), cleaning.pendingCancels());
+      if (ReleaseAction.forCondition(condition) != ReleaseAction.CLOSE) {
+        endLease();
         release(condition);
         return reach;
       }
     }
-    fail("given up");
+    close("given up");
     return reach;
   }
 
   /** Closes it, for this reason. */
-  void fail(String why) {
+  void close(String reason) {
     if (state == ConnectionState.CLOSED) {
       return;
     }
     Reach reach = reach();
-    Lease had = lease;
-    if (had != null) {
-      had.lost(state == ConnectionState.ACTIVE);
+    Lease ended = lease;
+    if (ended != null) {
+      ended.lost(state == ConnectionState.ACTIVE);
     }
     lease = null;
-    to(ConnectionState.CLOSED);
-    if (stream != null) {
-      stream.close();
+    transitionTo(ConnectionState.CLOSED);
+    if (socket != null) {
+      socket.close();
     }
-    pool.gone(this);
-    if (had != null) {
-      had.tell(new AttemptEnd.Broken<>(reach, why));
+    pool.closed(this);
+    if (ended != null) {
+      ended.tell(new AttemptEnd.Broken<>(reach, reason));
     }
   }
 
   @Override
   public void ended(String why) {
-    fail(why);
+    close(why);
   }
 }
--- a/src/main/java/crankspar/pooling/Servers.java
+++ b/src/main/java/crankspar/pooling/ServerConnections.java
@@ -31,18 +31,19 @@
  * which idle connection is used and which are closed {@link IdleList} decides. Probes have
  * connections of their own.
  */
-final class Servers implements Ports.Backends<Opening, Answer>, MemberAddresses, ServerPool {
-  private static final double SWEEP = 250;
+final class ServerConnections
+    implements Ports.Backends<Opening, Answer>, MemberAddresses, ServerPool {
+  private static final double SWEEP_INTERVAL_MS = 250;
 
   /** From a client's end to a connection that is clean (ms). */
-  private static final double CLEANING_MOST = 5_000;
+  private static final double RESET_TIMEOUT_MS = 5_000;
 
   /** A member that is gone is forgotten after this long (ms), by when no attempt at it is out. */
-  private static final double FORGET = 60_000;
+  private static final double MEMBER_RETENTION_MS = 60_000;
 
   private static final class Member {
     InetSocketAddress address;
-    double goneAt = Double.POSITIVE_INFINITY;
+    double removedAt = Double.POSITIVE_INFINITY;
     final Set<Server> connections = new LinkedHashSet<>();
   }
 
@@ -50,8 +51,8 @@
   private final Counters counters;
   private final Pool<Statement, PgAnswer> probes;
   private final double dialTimeout;
-  private final int most;
-  private final RandomGenerator chance;
+  private final int maxConnections;
+  private final RandomGenerator random;
   private final Map<String, Member> members = new HashMap<>();
   private final Map<ServerKey, Integer> open = new HashMap<>();
 
@@ -59,27 +60,27 @@
   private final Map<ServerKey, PMap<String, String>> reported = new LinkedHashMap<>();
 
   private Setup setup;
-  private int all;
+  private int total;
 
-  Servers(
+  ServerConnections(
       EventLoop loop,
       Counters counters,
       Pool<Statement, PgAnswer> probes,
       Setup setup,
       double dialTimeout,
-      int most,
-      RandomGenerator chance) {
+      int maxConnections,
+      RandomGenerator random) {
     this.loop = loop;
     this.counters = counters;
     this.probes = probes;
     this.setup = setup;
     this.dialTimeout = dialTimeout;
-    this.most = most;
-    this.chance = chance;
-    loop.after(SWEEP, this::sweep);
+    this.maxConnections = maxConnections;
+    this.random = random;
+    loop.after(SWEEP_INTERVAL_MS, this::sweep);
   }
 
-  void set(Setup setup) {
+  void configure(Setup setup) {
     this.setup = setup;
   }
 
@@ -94,8 +95,8 @@
   }
 
   @Override
-  public Set<Pins.Kind> refused() {
-    return setup.refused();
+  public Set<Pins.Kind> refusedPins() {
+    return setup.refusedPins();
   }
 
   @Override
@@ -109,7 +110,7 @@
   }
 
   Collection<Server> connections() {
-    var list = new ArrayList<Server>(all);
+    var list = new ArrayList<Server>(total);
     members.values().forEach(m -> list.addAll(m.connections));
     return list;
   }
@@ -127,7 +128,7 @@
       new ArrayList<>(m.connections).forEach(Server::retire);
     }
     m.address = address;
-    m.goneAt = Double.POSITIVE_INFINITY;
+    m.removedAt = Double.POSITIVE_INFINITY;
   }
 
   /**
@@ -138,17 +139,17 @@
   public void forget(String id) {
     probes.forget(id);
     Member m = members.get(id);
-    if (m == null || m.goneAt < loop.now()) {
+    if (m == null || m.removedAt < loop.now()) {
       return;
     }
-    m.goneAt = loop.now();
-    var there = new ArrayList<>(m.connections);
-    there.forEach(Server::retire);
+    m.removedAt = loop.now();
+    var connections = new ArrayList<>(m.connections);
+    connections.forEach(Server::retire);
     loop.after(
-        setup.limits().drain(),
+        setup.limits().drainTimeout(),
         () -> {
-          if (m.goneAt < loop.now()) {
-            for (Server s : there) {
+          if (m.removedAt < loop.now()) {
+            for (Server s : connections) {
               if (s.state() == ConnectionState.ACTIVE && s.opening() != null) {
                 counters.add("pooling_drain_ended", 1);
                 s.opening()
@@ -156,7 +157,7 @@
                     .fatal(
                         "57P01", "the server drains, and this transaction took longer than it may");
               }
-              s.fail("its member drains");
+              s.close("its member drains");
             }
           }
         });
@@ -170,7 +171,7 @@
       double deadline,
       double connectBy,
       Ports.AttemptListener<Answer> listener) {
-    double within = connectBy - loop.now();
+    double timeout = connectBy - loop.now();
     Member m = members.get(member);
     if (m == null) {
       return refuse(listener, "no address is known");
@@ -180,38 +181,38 @@
         IdleList.choose(
             idle(m, key), s -> Carry.distance(s.sessionState(), opening.client.session()));
     if (server != null) {
-      server.serve(opening, within, listener);
+      server.assign(opening, timeout, listener);
       return server;
     }
-    Setup.Places places = opening.client.database().places();
-    if (open(key) >= places.most() + places.reserve() && !closeOldest(key)
-        || all >= most && !closeOldest(null)) {
+    Setup.PoolLimits limits = opening.client.database().poolLimits();
+    if (open(key) >= limits.maxSize() + limits.reserve() && !closeLongestIdle(key)
+        || total >= maxConnections && !closeLongestIdle(null)) {
       return refuse(listener, "no connection is left");
     }
-    Server dialled = dial(member, m, key);
-    dialled.serve(opening, within, listener);
+    Server dialed = dial(member, m, key);
+    dialed.assign(opening, timeout, listener);
     loop.after(
-        Math.min(dialTimeout, within),
+        Math.min(dialTimeout, timeout),
         () -> {
-          if (dialled.state() == ConnectionState.LOGIN) {
-            dialled.fail("no connection in time");
+          if (dialed.state() == ConnectionState.LOGIN) {
+            dialed.close("no connection in time");
           }
         });
-    return dialled;
+    return dialed;
   }
 
   private Server dial(String member, Member m, ServerKey key) {
-    var server = new Server(this, key, member, chance.nextDouble());
+    var server = new Server(this, key, member, random.nextDouble());
     m.connections.add(server);
     open.merge(key, 1, Integer::sum);
-    all++;
+    total++;
     counters.add("pooling_server_connections", 1);
-    server.stream(loop.connect(m.address, server));
+    server.setSocket(loop.connect(m.address, server));
     return server;
   }
 
-  private Ports.Call refuse(Ports.AttemptListener<Answer> listener, String why) {
-    listener.ended(new AttemptEnd.Broken<>(Reach.NOT_CONNECTED, why));
+  private Ports.Call refuse(Ports.AttemptListener<Answer> listener, String reason) {
+    listener.ended(new AttemptEnd.Broken<>(Reach.NOT_CONNECTED, reason));
     return () -> Reach.NOT_CONNECTED;
   }
 
@@ -231,7 +232,7 @@
    * Makes room for a connection elsewhere: the longest idle one goes, of this key or, where null,
    * of any.
    */
-  private boolean closeOldest(ServerKey key) {
+  private boolean closeLongestIdle(ServerKey key) {
     Server oldest = null;
     for (Member m : members.values()) {
       for (Server s : idle(m, key)) {
@@ -239,7 +240,7 @@
       }
     }
     if (oldest != null) {
-      oldest.fail("room is made");
+      oldest.close("room is made");
     }
     return oldest != null;
   }
@@ -257,7 +258,7 @@
 
   // ---- What connections tell.
   @Override
-  public void up(Server server) {
+  public void connected(Server server) {
     reported.put(server.key(), server.sessionState().reported());
     if (reported.size() > 10_000) { // one a key: users may be any
       reported.remove(reported.keySet().iterator().next());
@@ -265,18 +266,18 @@
   }
 
   @Override
-  public void free(Server server) {
+  public void idle(Server server) {
     Setup.Database database = setup.databases().get(server.key().pool());
-    if (database != null && IdleList.old(server, database.places(), loop.now())) {
-      server.fail("its lifetime is over");
+    if (database != null && IdleList.pastLifetime(server, database.poolLimits(), loop.now())) {
+      server.close("its lifetime is over");
     }
   }
 
   @Override
-  public void gone(Server server) {
+  public void closed(Server server) {
     Member m = members.get(server.member());
     if (m != null && m.connections.remove(server)) {
-      all--;
+      total--;
       open.computeIfPresent(server.key(), (k, n) -> n > 1 ? n - 1 : null);
     }
   }
@@ -287,7 +288,7 @@
    */
   void cancel(Server server) {
     Member m = members.get(server.member());
-    if (m == null || server.login().process() == 0) {
+    if (m == null || server.login().processId() == 0) {
       return;
     }
     counters.add("pooling_cancels", 1);
@@ -300,7 +301,7 @@
               @Override
               public void opened(Connection out) {
                 over[1] = true;
-                byte[] bytes = Frame.cancel(server.login().process(), server.login().secret());
+                byte[] bytes = Frame.cancel(server.login().processId(), server.login().secretKey());
                 out.write(bytes, bytes.length, null);
               }
 
@@ -322,27 +323,30 @@
               private void passed(boolean byServer) {
                 if (!over[0]) {
                   over[0] = true;
-                  server.cancelPassed(byServer || !over[1]);
+                  server.cancelFinished(byServer || !over[1]);
                 }
               }
             });
-    loop.after(setup.limits().cancel(), stream::close);
+    loop.after(setup.limits().cancelTimeout(), stream::close);
   }
 
   /** What does not come clean in time serves nobody and holds a place. */
-  private void closeUnclean(double now) {
+  private void closeOverdueResets(double now) {
     for (Server server : connections()) {
-      if (server.state() == ConnectionState.TESTED && now - server.since() > CLEANING_MOST) {
+      if (server.state() == ConnectionState.TESTED
+          && now - server.stateSince() > RESET_TIMEOUT_MS) {
         counters.add("pooling_cleanings_late", 1);
-        server.fail("it did not come clean in time");
+        server.close("it did not come clean in time");
       }
     }
   }
 
   private void sweep() {
     double now = loop.now();
-    closeUnclean(now);
-    members.values().removeIf(m -> now - m.goneAt > FORGET && m.connections.isEmpty());
+    closeOverdueResets(now);
+    members
+        .values()
+        .removeIf(m -> now - m.removedAt > MEMBER_RETENTION_MS && m.connections.isEmpty());
     for (Setup.Database d : setup.databases().values()) {
       var byKey = new HashMap<ServerKey, List<Server>>();
       for (Member m : members.values()) {
@@ -354,9 +358,9 @@
       }
       byKey.forEach(
           (key, idle) ->
-              IdleList.expired(idle, d.places(), open(key), now)
-                  .forEach(s -> s.fail("its time is over")));
+              IdleList.expired(idle, d.poolLimits(), open(key), now)
+                  .forEach(s -> s.close("its time is over")));
     }
-    loop.after(SWEEP, this::sweep);
+    loop.after(SWEEP_INTERVAL_MS, this::sweep);
   }
 }
--- a/src/main/java/crankspar/pooling/ServerLogin.java
+++ b/src/main/java/crankspar/pooling/ServerLogin.java
@@ -11,26 +11,26 @@
   /** What a message of the server's means for the start. */
   sealed interface Step {
     /** It goes on. */
-    record GoesOn() implements Step {}
+    record Continue() implements Step {}
 
     /** The server is ready. */
-    record Welcome() implements Step {}
+    record Ready() implements Step {}
 
     /** The server will not have it; {@code said} is what its client hears. */
-    record Refused(Frame said, String why) implements Step {}
+    record Refused(Frame error, String reason) implements Step {}
   }
 
-  private static final Step GOES_ON = new Step.GoesOn();
+  private static final Step CONTINUE = new Step.Continue();
 
-  private int process;
-  private int secret;
+  private int processId;
+  private int secretKey;
 
-  int process() {
-    return process;
+  int processId() {
+    return processId;
   }
 
-  int secret() {
-    return secret;
+  int secretKey() {
+    return secretKey;
   }
 
   static byte[] startup(ServerKey key) {
@@ -40,30 +40,30 @@
     return Frame.startup(PROTOCOL_VERSION, parameters);
   }
 
-  Step take(Frame f) throws Frame.Malformed {
+  Step onMessage(Frame f) throws Frame.Malformed {
     return switch (f.type()) {
       case 'R' -> authentication(f);
       case 'K' -> {
         Frame.Reader r = f.read();
-        process = r.int32();
-        secret = r.int32();
-        yield GOES_ON;
+        processId = r.int32();
+        secretKey = r.int32();
+        yield CONTINUE;
       }
-      case 'S', 'N', 'v' -> GOES_ON;
+      case 'S', 'N', 'v' -> CONTINUE;
       case 'E' ->
           new Step.Refused(f, "not welcome: " + f.fields().get('C') + " " + f.fields().get('M'));
-      case 'Z' -> new Step.Welcome();
+      case 'Z' -> new Step.Ready();
       default -> throw new Frame.Malformed("message type " + f.type() + " before the welcome");
     };
   }
 
   private static Step authentication(Frame f) throws Frame.Malformed {
     if (f.read().int32() == 0) {
-      return GOES_ON;
+      return CONTINUE;
     }
-    Frame said =
+    Frame error =
         Frame.error(
             "FATAL", "28000", "the server asks for a password, which is not carried yet", null);
-    return new Step.Refused(said, "a password is asked for");
+    return new Step.Refused(error, "a password is asked for");
   }
 }
--- a/src/main/java/crankspar/pooling/ServerPool.java
+++ b/src/main/java/crankspar/pooling/ServerPool.java
@@ -5,13 +5,13 @@
 /** The pool that a server connection belongs to. */
 interface ServerPool {
   /** It has been welcomed. */
-  void up(Server server);
+  void connected(Server server);
 
   /** Anybody may have it. */
-  void free(Server server);
+  void idle(Server server);
 
   /** It is closed. */
-  void gone(Server server);
+  void closed(Server server);
 
   /** The loop's time (ms). */
   double now();
@@ -19,7 +19,7 @@
   Setup.Limits limits();
 
   /** What operators refuse. */
-  Set<Pins.Kind> refused();
+  Set<Pins.Kind> refusedPins();
 
   void count(String name, long n);
 }
--- a/src/main/java/crankspar/pooling/ServerReplies.java
+++ b/src/main/java/crankspar/pooling/ServerReplies.java
@@ -109,10 +109,10 @@
     Frame.Reader r = f.read();
     String name = r.text();
     String value = r.text();
-    if (ServerNotes.NAMES.contains(name)) {
+    if (ReportedStatus.PARAMETERS.contains(name)) {
       return; // they change with every answer: kept, each lease would compare all anew
     }
-    server.report(name, value);
+    server.setReported(name, value);
     if (!answersInternal() && !value.equals(client.told().get(name))) {
       client.told(client.told().plus(name, value));
       toClient.add(f);
@@ -188,7 +188,7 @@
   private void both(Statement s, String tag) {
     Statement effect = client.effect(s);
     client.done(effect, tag);
-    server.done(effect, tag, client.sessionOptions().statementOptions());
+    server.onCompleted(effect, tag, client.sessionOptions().statementOptions());
   }
 
   private void failed(Frame f) throws Frame.Malformed {
@@ -197,14 +197,14 @@
     error = error == null ? code : error;
     batch.failed();
     client.failed();
-    server.failed();
+    server.onError();
     if (reply == null || reply.step().endsBatch()) {
       return;
     }
     boolean lost = code.equals(STATEMENT_LOST) || code.equals(STATEMENT_STALE);
     if (lost && reply.prepared() != null && reply.step() != Step.PARSE) {
       statementLost = true;
-      server.drop(reply.prepared()); // it is prepared anew when next used
+      server.markStale(reply.prepared()); // it is prepared anew when next used
     }
     replies.passOver();
     projected.forget();
@@ -227,7 +227,7 @@
     char status = f.read().code();
     batch.ready(status);
     client.ready(status);
-    server.ready(status);
+    server.onReady(status);
     progress.ready(status);
   }
 }
--- a/src/main/java/crankspar/pooling/ServerState.java
+++ b/src/main/java/crankspar/pooling/ServerState.java
@@ -12,7 +12,7 @@
 
 /** What is in force on one server connection, as far as it was set through here. */
 final class ServerState {
-  private static final int UNFIT_MOST = 64;
+  private static final int MAX_STALE = 64;
 
   private final Transactional<PMap<String, String>> options =
       new Transactional<>(HashTreePMap.empty());
@@ -26,7 +26,7 @@
   /**
    * Statements that must be closed before they are prepared anew: the server may still have them.
    */
-  private final Set<Prepared> unfit = new HashSet<>();
+  private final Set<Prepared> stale = new HashSet<>();
 
   private PMap<String, String> reported = HashTreePMap.empty();
 
@@ -47,15 +47,15 @@
     return unnamed;
   }
 
-  void unnamed(Prepared statement) {
+  void setUnnamed(Prepared statement) {
     unnamed = statement;
   }
 
-  int statements() {
+  int statementCount() {
     return statements.size();
   }
 
-  void report(String name, String value) {
+  void setReported(String name, String value) {
     if (!value.equals(reported.get(name))) {
       reported = reported.plus(name, value);
     }
@@ -75,50 +75,50 @@
   }
 
   /** It failed as lost or stale: it counts as absent, and is closed before it is prepared anew. */
-  void drop(Prepared statement) {
+  void markStale(Prepared statement) {
     if (statement.equals(unnamed)) {
       unnamed = null;
     }
-    if (statements.remove(statement.name()) != null || unfit.size() < UNFIT_MOST) {
-      unfit.add(statement);
+    if (statements.remove(statement.name()) != null || stale.size() < MAX_STALE) {
+      stale.add(statement);
     }
   }
 
   /** Whether it was dropped, said once. */
-  boolean unfit(Prepared statement) {
-    return unfit.remove(statement);
+  boolean takeStale(Prepared statement) {
+    return stale.remove(statement);
   }
 
   /** The least recently used ones beyond a bound. */
-  List<Prepared> beyond(int most) {
-    var all = new ArrayList<Prepared>();
+  List<Prepared> leastRecentlyUsed(int limit) {
+    var excess = new ArrayList<Prepared>();
     var eldest = statements.values().iterator();
-    for (int n = statements.size(); n > most && eldest.hasNext(); n--) {
-      all.add(eldest.next());
+    for (int n = statements.size(); n > limit && eldest.hasNext(); n--) {
+      excess.add(eldest.next());
     }
-    return all;
+    return excess;
   }
 
   /**
    * A statement has been done here, under these options; RESET goes back to what this connection
    * began with, which is nothing set.
    */
-  void done(Statement s, String tag, StatementOptions under) {
-    PMap<String, String> now = options.now();
+  void onCompleted(Statement s, String tag, StatementOptions under) {
+    PMap<String, String> current = options.now();
     switch (s.kind()) {
-      case SET -> options.change(now.plus(s.name(), s.value()));
-      case RESET -> options.change(now.minus(s.name()));
+      case SET -> options.change(current.plus(s.name(), s.value()));
+      case RESET -> options.change(current.minus(s.name()));
       case RESET_ALL -> options.change(HashTreePMap.empty());
       case DISCARD_ALL -> {
         options.replace(HashTreePMap.empty());
-        forgetStatements();
+        clearStatements();
       }
       case PREPARE -> sqlPrepared = sqlPrepared.plus(s.name(), SqlPrepared.of(s, under));
       case DEALLOCATE -> {
         sqlPrepared = sqlPrepared.minus(s.name());
         statements.remove(s.name());
       }
-      case DEALLOCATE_ALL -> forgetStatements();
+      case DEALLOCATE_ALL -> clearStatements();
       case COMMIT, ROLLBACK -> {
         if (tag.equals("COMMIT")) {
           options.commit();
@@ -133,28 +133,28 @@
     }
   }
 
-  private void forgetStatements() {
+  private void clearStatements() {
     statements.clear();
-    unfit.clear();
+    stale.clear();
     sqlPrepared = HashTreePMap.empty();
     unnamed = null;
   }
 
-  void failed() {
+  void onError() {
     options.fail();
   }
 
-  void ready(char status) {
+  void onReady(char status) {
     options.ready(status);
   }
 
   /** What was brought here by a carry, in one go. */
-  void carried(PMap<String, String> asIt, PMap<String, SqlPrepared> prepared) {
-    options.replace(asIt);
-    sqlPrepared = prepared;
+  void replaceSession(PMap<String, String> newOptions, PMap<String, SqlPrepared> newPrepared) {
+    options.replace(newOptions);
+    sqlPrepared = newPrepared;
   }
 
-  Map<String, Prepared> all() {
+  Map<String, Prepared> statementsByName() {
     return statements;
   }
 }
--- a/src/main/java/crankspar/pooling/Setup.java
+++ b/src/main/java/crankspar/pooling/Setup.java
@@ -8,7 +8,7 @@
 public record Setup(
     InetSocketAddress listen,
     Limits limits,
-    Set<Pins.Kind> refused,
+    Set<Pins.Kind> refusedPins,
     Map<String, Database> databases) {
   /** When a connection is given back: with the client's end, or with the transaction's. */
   public enum Mode {
@@ -31,17 +31,17 @@
    * @param cancel how long a server may take to end a cancel's connection
    */
   public record Limits(
-      int clients,
-      int waiting,
-      double login,
-      int statements,
-      int statementBytes,
-      int serverStatements,
-      int buffers,
-      double idleInTransaction,
-      double transaction,
-      double drain,
-      double cancel) {
+      int maxClients,
+      int maxWaiting,
+      double loginTimeout,
+      int maxStatements,
+      int maxStatementBytes,
+      int maxServerStatements,
+      int maxBufferedBytes,
+      double idleInTransactionTimeout,
+      double transactionTimeout,
+      double drainTimeout,
+      double cancelTimeout) {
     public static final Limits DEFAULT =
         new Limits(2000, 2000, 5000, 1000, 1 << 20, 200, 16 << 20, 60_000, 600_000, 10_000, 2000);
   }
@@ -55,13 +55,18 @@
    * @param lifetime after which a connection is closed between transactions, give or take a tenth
    * @param idle after which an idle one is closed
    */
-  public record Places(
-      int most, int least, int reserve, double reserveAfter, double lifetime, double idle) {
-    public static final Places DEFAULT = new Places(20, 0, 0, 1000, 3_600_000, 300_000);
+  public record PoolLimits(
+      int maxSize,
+      int minIdle,
+      int reserve,
+      double reserveAfter,
+      double maxLifetime,
+      double idleTimeout) {
+    public static final PoolLimits DEFAULT = new PoolLimits(20, 0, 0, 1000, 3_600_000, 300_000);
   }
 
   /** What one user has of its own; null or 0 where it has what the database has. */
-  public record User(Mode mode, int most) {}
+  public record UserSettings(Mode mode, int maxSize) {}
 
   /**
    * One database as clients name it.
@@ -79,16 +84,16 @@
       String requestClass,
       String readOnlyClass,
       String selectClass,
-      Places places,
-      Map<String, User> users,
+      PoolLimits poolLimits,
+      Map<String, UserSettings> users,
       boolean anyUser) {
     Mode mode(String user) {
-      User own = users.get(user);
+      UserSettings own = users.get(user);
       return own == null || own.mode() == null ? mode : own.mode();
     }
 
     /** The same, in a user's own mode. */
-    Database as(String user) {
+    Database forUser(String user) {
       return new Database(
           name,
           serverName,
@@ -97,12 +102,12 @@
           requestClass,
           readOnlyClass,
           selectClass,
-          places,
+          poolLimits,
           users,
           anyUser);
     }
 
-    boolean takes(String user) {
+    boolean allows(String user) {
       return anyUser || users.containsKey(user);
     }
   }
--- a/src/main/java/crankspar/pooling/StatementNames.java
+++ b/src/main/java/crankspar/pooling/StatementNames.java
@@ -73,7 +73,7 @@
    */
   void parseTaken(String name, Prepared taken, Prepared statement) {
     if (batch.status() == 'E' && !server.has(taken)) {
-      server.unnamed(null);
+      server.setUnnamed(null);
       parse("", statement, PendingReply.internal(statement, () -> {}));
       String why = "prepared statement " + Sql.identifier(name) + " already exists";
       failAtServer(Frame.error("ERROR", NAME_TAKEN, why, null));
@@ -118,13 +118,13 @@
   }
 
   private void parseAsUnnamed(Prepared statement, Runnable undo) {
-    server.unnamed(statement);
+    server.setUnnamed(statement);
     parse(
         "",
         statement,
         PendingReply.to(Step.PARSE, statement)
             .undoneAtClient(undo)
-            .undoneAtServer(() -> server.unnamed(null)));
+            .undoneAtServer(() -> server.setUnnamed(null)));
   }
 
   private void parse(String as, Prepared statement, PendingReply reply) {
@@ -152,14 +152,14 @@
       ensurePrepared(statement);
       return statement.name();
     }
-    server.unnamed(statement);
-    parse("", statement, PendingReply.internal(statement, () -> server.unnamed(null)));
+    server.setUnnamed(statement);
+    parse("", statement, PendingReply.internal(statement, () -> server.setUnnamed(null)));
     return "";
   }
 
   /** The client has none: what another one left there is not to answer for it. */
   private void closeUnnamed() {
-    server.unnamed(null);
+    server.setUnnamed(null);
     sendInternal(Frame.close('S', ""));
   }
 
@@ -199,7 +199,7 @@
   /** Runs a statement of the pooler's own within the client's transaction. */
   private void execute(String sql) {
     String portal = OWN_PORTAL + ++portals;
-    server.unnamed(null);
+    server.setUnnamed(null);
     sendInternal(Frame.body().text("").text(sql).int16(0).as('P'));
     sendInternal(Frame.body().text(portal).text("").int16(0).int16(0).int16(0).as('B'));
     sendInternal(Frame.body().text(portal).int32(0).as('E'));
@@ -215,10 +215,10 @@
       server.remove(old);
       send.accept(Frame.close('S', old.name()), PendingReply.internal(old, () -> server.add(old)));
     }
-    if (server.unfit(statement)) { // it may be there still, under a plan that no longer fits
+    if (server.takeStale(statement)) { // it may be there still, under a plan that no longer fits
       send.accept(
           Frame.close('S', statement.name()),
-          PendingReply.internal(statement, () -> server.drop(statement)));
+          PendingReply.internal(statement, () -> server.markStale(statement)));
     }
   }
 }
--- a/src/test/java/crankspar/pooling/UntakenCancelTest.java
+++ b/src/test/java/crankspar/pooling/CancelBeforeStatementTest.java
@@ -15,8 +15,8 @@
  * together. The cancel was read while its client had nothing at hand, as statements are taken
  * behind all that is read; it did nothing, and the statement ran.
  */
-class UntakenCancelTest {
-  private static final long ARRIVED_MS = 50;
+class CancelBeforeStatementTest {
+  private static final long ARRIVAL_MS = 50;
 
   private Stand stand;
   private PgWire client;
@@ -34,42 +34,42 @@
     stand.close();
   }
 
-  private void sentAndCancelled(byte[]... messages) throws Exception {
+  private void sendAndCancel(byte[]... messages) throws Exception {
     try (PgWire other = new PgWire(stand.address())) {
       try (DaemonLoop hold = DaemonLoop.hold(stand.daemon)) {
         for (byte[] message : messages) {
           client.bytes(message);
         }
         other.bytes(Frame.cancel(client.process, client.secret));
-        Thread.sleep(ARRIVED_MS);
+        Thread.sleep(ARRIVAL_MS);
       }
       assertThat(other.ends()).isTrue();
     }
   }
 
-  private long ran(String statement) {
+  private long executions(String statement) {
     return stand.recording.begun(sql -> sql.contains(statement));
   }
 
   @Test
   void theStatementDoesNotRun() throws Exception {
-    sentAndCancelled(Frame.query("SELECT 41").wire());
+    sendAndCancel(Frame.query("SELECT 41").wire());
     assertThat(PgWire.brief(client.untilReady())).isEqualTo("E:57014 Z:I");
     assertThat(client.ask("SELECT 3")).isEqualTo("T D:3 C:SELECT 1 Z:I");
-    assertThat(ran("SELECT 41")).isZero();
+    assertThat(executions("SELECT 41")).isZero();
   }
 
   @Test
   void onlyTheFirstStatementInLineIsCancelled() throws Exception {
-    sentAndCancelled(Frame.query("SELECT 41").wire(), Frame.query("SELECT 42").wire());
+    sendAndCancel(Frame.query("SELECT 41").wire(), Frame.query("SELECT 42").wire());
     assertThat(PgWire.brief(client.untilReady())).isEqualTo("E:57014 Z:I");
     assertThat(PgWire.brief(client.untilReady())).isEqualTo("T D:42 C:SELECT 1 Z:I");
-    assertThat(ran("SELECT 41")).isZero();
+    assertThat(executions("SELECT 41")).isZero();
   }
 
   @Test
   void aCancelBehindNothingCancelsNothing() throws Exception {
-    sentAndCancelled(Frame.SYNC.wire());
+    sendAndCancel(Frame.SYNC.wire());
     assertThat(PgWire.brief(client.untilReady())).isEqualTo("Z:I");
     assertThat(client.ask("SELECT 3")).isEqualTo("T D:3 C:SELECT 1 Z:I");
   }
@@ -77,14 +77,14 @@
   @Test
   void inATransactionTheCancelFollowsItsStatementToTheServer() throws Exception {
     assertThat(client.ask("BEGIN")).isEqualTo("C:BEGIN Z:T");
-    sentAndCancelled(Frame.query("SELECT pg_sleep(5)").wire());
+    sendAndCancel(Frame.query("SELECT pg_sleep(5)").wire());
     assertThat(PgWire.brief(client.untilReady())).isEqualTo("E:57014 Z:E");
   }
 
   @Test
   void aClientThatLeavesInATransactionHasNothingToCancel() throws Exception {
     assertThat(client.ask("BEGIN")).isEqualTo("C:BEGIN Z:T");
-    sentAndCancelled(Frame.TERMINATE.wire());
+    sendAndCancel(Frame.TERMINATE.wire());
     assertThat(client.ends()).isTrue();
     try (PgWire next = stand.wire()) {
       assertThat(next.ask("SELECT 3")).isEqualTo("T D:3 C:SELECT 1 Z:I");
--- a/src/test/java/crankspar/pooling/ExchangeTest.java
+++ b/src/test/java/crankspar/pooling/ExchangeTest.java
@@ -184,7 +184,7 @@
     assertThat(out(small, use("b", "SELECT 2"))).isEqualTo("CPBES");
     assertThat(back(small, of('3'), of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
         .isEqualTo("12CZ");
-    assertThat(server.statements()).isEqualTo(1);
+    assertThat(server.statementCount()).isEqualTo(1);
   }
 
   @Test
--- a/src/test/java/crankspar/pooling/ReleaseTest.java
+++ b/src/test/java/crankspar/pooling/ReleaseActionTest.java
@@ -5,11 +5,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What must be so before a connection may be another client's, over all conditions. */
-class ReleaseTest {
+class ReleaseActionTest {
   private static final boolean[] EITHER = {false, true};
 
   private interface Each {
-    void take(Release.Condition condition);
+    void take(ReleaseAction.Condition condition);
   }
 
   private static void forEach(Each each) {
@@ -21,7 +21,7 @@
               for (boolean unwanted : EITHER) {
                 for (int cancels = 0; cancels < 2; cancels++) {
                   each.take(
-                      new Release.Condition(
+                      new ReleaseAction.Condition(
                           owed, batch, status, session, library, unwanted, cancels));
                 }
               }
@@ -37,9 +37,9 @@
   void onlyACleanConnectionIsReused() {
     forEach(
         condition ->
-            assertThat(Release.of(condition) == Release.REUSE)
+            assertThat(ReleaseAction.forCondition(condition) == ReleaseAction.REUSE)
                 .as(condition.toString())
-                .isEqualTo(condition.equals(Release.Condition.clean(false, 0))));
+                .isEqualTo(condition.equals(ReleaseAction.Condition.clean(false, 0))));
   }
 
   /** Guards against a ROLLBACK that commits a batch, or that the server passes over. */
@@ -47,8 +47,10 @@
   void nothingIsSentIntoAnOpenBatchOrAnAnswer() {
     forEach(
         condition -> {
-          if (condition.batchOpen() || condition.answersOwed()) {
-            assertThat(Release.of(condition)).as(condition.toString()).isEqualTo(Release.CLOSE);
+          if (condition.batchOpen() || condition.answersPending()) {
+            assertThat(ReleaseAction.forCondition(condition))
+                .as(condition.toString())
+                .isEqualTo(ReleaseAction.CLOSE);
           }
         });
   }
--- a/src/test/java/crankspar/pooling/RouteTest.java
+++ b/src/test/java/crankspar/pooling/RouteTest.java
@@ -24,7 +24,7 @@
           "trade-claim",
           "season-report",
           "scoreboard",
-          Setup.Places.DEFAULT,
+          Setup.PoolLimits.DEFAULT,
           Map.of(),
           true);
 
--- a/src/test/java/crankspar/pooling/StateTest.java
+++ b/src/test/java/crankspar/pooling/StateTest.java
@@ -114,14 +114,14 @@
     SessionState client = state("TimeZone", "UTC");
     var server = new ServerState();
     assertThat(Carry.settings(server, client)).isEqualTo("SET TIME ZONE 'UTC'");
-    server.carried(client.options(), client.sqlPrepared());
+    server.replaceSession(client.options(), client.sqlPrepared());
     assertThat(Carry.settings(server, client)).isNull();
     assertThat(Carry.distance(server, client)).isZero();
     done(client, "SET search_path TO a, b", "SET ROLE r", "PREPARE p AS SELECT 1");
     client.ready('I');
     assertThat(Carry.settings(server, client))
         .isEqualTo("SET search_path TO a, b; SET role TO r; PREPARE p AS SELECT 1");
-    server.carried(client.options(), client.sqlPrepared());
+    server.replaceSession(client.options(), client.sqlPrepared());
     SessionState other = state();
     done(other, "PREPARE p AS SELECT 2");
     assertThat(Carry.settings(server, other))
