--- a/src/main/java/crankspar/pooling/BatchCollector.java
+++ b/src/main/java/crankspar/pooling/BatchCollector.java
@@ -98,7 +98,7 @@
       Route.RoutingDecision way =
           context
               .route()
-              .decide(database.as(user), batch.text(), batch.statements(), client.session());
+              .decide(database.forUser(user), batch.text(), batch.statements(), client.session());
       client.submit(
           new OpeningBatch(client, opening, whole, way, batch.onlyBegins(), database.mode(user)));
     } catch (Route.Refused e) {
--- a/src/main/java/crankspar/pooling/Exchange.java
+++ b/src/main/java/crankspar/pooling/Exchange.java
@@ -56,7 +56,8 @@
     this.refusedKinds = refused;
     projected = new ProjectedOptions(client.sessionOptions());
     names =
-        new StatementNames(client, server, projected, batch, limits.serverStatements(), this::send);
+        new StatementNames(
+            client, server, projected, batch, limits.maxServerStatements(), this::send);
     serverReplies = new ServerReplies(client, server, replies, batch, projected, progress);
   }
 
@@ -245,15 +246,15 @@
 
   private boolean exceedsStatementLimits(int bytes) {
     boolean over =
-        client.statementCount() >= limits.statements()
-            || client.preparedBytes() + bytes > limits.statementBytes();
+        client.statementCount() >= limits.maxStatements()
+            || client.preparedBytes() + bytes > limits.maxStatementBytes();
     if (over) {
       refuse(
           "53400",
           "more than "
-              + limits.statements()
+              + limits.maxStatements()
               + " statements or "
-              + limits.statementBytes()
+              + limits.maxStatementBytes()
               + " bytes of them are prepared");
     }
     return over;
@@ -357,7 +358,7 @@
     serverReplies.querySent();
     executions += statements.size();
     client.close("");
-    server.unnamed(null); // a simple query does away with the unnamed statement
+    server.setUnnamed(null); // a simple query does away with the unnamed statement
     if (statements.size() == 1
         && statements.get(0).kind() == Kind.DEALLOCATE
         && client.prepared(statements.get(0).name()) != null) {
--- a/src/main/java/crankspar/pooling/Lease.java
+++ b/src/main/java/crankspar/pooling/Lease.java
@@ -11,7 +11,7 @@
  * One client's use of a server connection, from its opening batch to the end of its transaction or
  * session: what is sent, which answers are held back while the batch may still be asked elsewhere,
  * and how the attempt ends. Its connection is {@link Server}; how it is left to the next client
- * {@link Release} decides.
+ * {@link ReleaseAction} decides.
  */
 final class Lease {
   /**
@@ -58,7 +58,7 @@
             server.sessionState(),
             progress,
             server.pool().limits(),
-            server.pool().refused());
+            server.pool().refusedPins());
   }
 
   OpeningBatch opening() {
@@ -97,7 +97,7 @@
 
   /** Whether the server is read: not while what it gives has nowhere to go. */
   void setServerReading(boolean on) {
-    server.reading(on);
+    server.setReading(on);
   }
 
   /** Whether it is between two transactions of the client that keeps it. */
@@ -152,7 +152,7 @@
         .reported()
         .forEach(
             (name, value) -> {
-              if (!ServerNotes.NAMES.contains(name)
+              if (!ReportedStatus.PARAMETERS.contains(name)
                   && !value.equals(client.reportedParameters().get(name))) {
                 holdBack(Frame.parameter(name, value));
               }
@@ -255,7 +255,7 @@
     List<Frame> delivered = held;
     held = new ArrayList<>(0);
     if (!listener.answeredInTransaction(new Answer(delivered, this), note) && active()) {
-      server.fail("nobody waits for it any more");
+      server.close("nobody waits for it any more");
     }
   }
 
@@ -278,7 +278,7 @@
     boolean transactionOver = exchange.status() == 'I';
     SessionState client = opening.client.session();
     if (transactionOver && progress.writes()) {
-      double position = server.notes().position();
+      double position = server.reportedStatus().position();
       client.committedAt(Double.isNaN(position) ? server.pool().now() : position);
     }
     if (!bound && transactionOver && restartBatch()) {
@@ -343,13 +343,13 @@
   }
 
   private MemberState note() {
-    return new MemberState(server.notes().role(), server.notes().position());
+    return new MemberState(server.reportedStatus().role(), server.reportedStatus().position());
   }
 
   // ---- Its end.
   /** How its connection is left where it ends now; {@code clientLeft} where its session ends. */
-  Release.Condition releaseCondition(boolean clientLeft, boolean unwanted, int cancelsPending) {
-    return new Release.Condition(
+  ReleaseAction.Condition releaseCondition(boolean clientLeft, boolean unwanted, int cancelsPending) {
+    return new ReleaseAction.Condition(
         exchange.repliesUncertain(),
         exchange.serverBatchOpen(),
         exchange.status(),
--- a/src/main/java/crankspar/pooling/Login.java
+++ b/src/main/java/crankspar/pooling/Login.java
@@ -92,7 +92,7 @@
       completeLogin(CONSOLE_PARAMETERS, parameters);
     } else if (database == null) {
       client.fatal("3D000", "database \"" + name + "\" is not set up here");
-    } else if (!database.takes(user)) {
+    } else if (!database.allows(user)) {
       client.fatal("28000", "user \"" + user + "\" is not set up for database \"" + name + "\"");
     } else {
       start(database, user, parameters);
@@ -119,7 +119,7 @@
   private void learnServerParameters(
       Setup.Database database, String user, Map<String, String> parameters) {
     try {
-      Route.RoutingDecision way = context.route().decide(database.as(user), "", List.of(), client.session());
+      Route.RoutingDecision way = context.route().decide(database.forUser(user), "", List.of(), client.session());
       pendingParameters = parameters;
       client.submit(new OpeningBatch(client, List.of(), true, way, false, Setup.Mode.TRANSACTION));
     } catch (Route.Refused e) {
@@ -149,7 +149,7 @@
     PMap<String, String> told = reported;
     for (Map.Entry<String, String> e : reported.entrySet()) {
       String value = own.getOrDefault(e.getKey().toLowerCase(Locale.ROOT), e.getValue());
-      if (!ServerNotes.NAMES.contains(e.getKey())) {
+      if (!ReportedStatus.PARAMETERS.contains(e.getKey())) {
         frames.add(Frame.parameter(e.getKey(), value));
         told = value.equals(e.getValue()) ? told : told.plus(e.getKey(), value);
       }
--- a/src/main/java/crankspar/pooling/ServerReplies.java
+++ b/src/main/java/crankspar/pooling/ServerReplies.java
@@ -109,10 +109,10 @@
     Frame.Reader r = f.read();
     String name = r.text();
     String value = r.text();
-    if (ServerNotes.NAMES.contains(name)) {
+    if (ReportedStatus.PARAMETERS.contains(name)) {
       return; // they change with every answer: kept, each lease would compare all anew
     }
-    server.report(name, value);
+    server.setReported(name, value);
     if (!answersInternal() && !value.equals(client.reportedParameters().get(name))) {
       client.reportedParameters(client.reportedParameters().plus(name, value));
       toClient.add(f);
@@ -189,7 +189,7 @@
   private void applyToBothSides(Statement s, String tag) {
     Statement effect = client.effect(s);
     client.apply(effect, tag);
-    server.done(effect, tag, client.sessionOptions().statementOptions());
+    server.onCompleted(effect, tag, client.sessionOptions().statementOptions());
   }
 
   private void failed(Frame f) throws Frame.Malformed {
@@ -198,14 +198,14 @@
     firstError = firstError == null ? code : firstError;
     batch.failed();
     client.statementFailed();
-    server.failed();
+    server.onError();
     if (reply == null || reply.kind().endsBatch()) {
       return;
     }
     boolean lost = code.equals(STATEMENT_LOST) || code.equals(STATEMENT_STALE);
     if (lost && reply.prepared() != null && reply.kind() != MessageKind.PARSE) {
       statementLost = true;
-      server.drop(reply.prepared()); // it is prepared anew when next used
+      server.markStale(reply.prepared()); // it is prepared anew when next used
     }
     replies.skipToSync();
     projected.reset();
@@ -228,7 +228,7 @@
     char status = f.read().code();
     batch.ready(status);
     client.ready(status);
-    server.ready(status);
+    server.onReady(status);
     progress.ready(status);
   }
 }
--- a/src/test/java/crankspar/pooling/ExchangeTest.java
+++ b/src/test/java/crankspar/pooling/ExchangeTest.java
@@ -198,7 +198,7 @@
             sendFromServer(
                 small, of('3'), of('1'), of('2'), Frame.complete("SELECT 1"), Frame.ready('I')))
         .isEqualTo("12CZ");
-    assertThat(server.statements()).isEqualTo(1);
+    assertThat(server.statementCount()).isEqualTo(1);
   }
 
   @Test
--- a/src/test/java/crankspar/pooling/StateTest.java
+++ b/src/test/java/crankspar/pooling/StateTest.java
@@ -114,14 +114,14 @@
     SessionState client = state("TimeZone", "UTC");
     var server = new ServerState();
     assertThat(StateDiff.restoreQuery(server, client)).isEqualTo("SET TIME ZONE 'UTC'");
-    server.carried(client.options(), client.sqlPrepared());
+    server.replaceSession(client.options(), client.sqlPrepared());
     assertThat(StateDiff.restoreQuery(server, client)).isNull();
     assertThat(StateDiff.distance(server, client)).isZero();
     apply(client, "SET search_path TO a, b", "SET ROLE r", "PREPARE p AS SELECT 1");
     client.ready('I');
     assertThat(StateDiff.restoreQuery(server, client))
         .isEqualTo("SET search_path TO a, b; SET role TO r; PREPARE p AS SELECT 1");
-    server.carried(client.options(), client.sqlPrepared());
+    server.replaceSession(client.options(), client.sqlPrepared());
     SessionState other = state();
     apply(other, "PREPARE p AS SELECT 2");
     assertThat(StateDiff.restoreQuery(server, other))
