--- a/src/main/java/crankspar/pooling/BatchStatements.java
+++ b/src/main/java/crankspar/pooling/BatchStatements.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * The statements of the batch that opens a transaction, as far as routing has to know them.
+ * The statements of the batch that opens a transaction, as far as routing needs them.
  *
- * @param text the first SQL text of the batch; empty where there is none
+ * @param text the first SQL text of the batch, empty if there is none
  */
 record BatchStatements(String text, List<Statement> statements) {
   private static final Statement FUNCTION_CALL = new Statement(Kind.WRITE, "", null, null, false);
@@ -23,7 +23,10 @@
     }
   }
 
-  /** What {@code session} has prepared before is known to it by name. */
+  /**
+   * Collects the statements; names that the batch does not prepare itself are looked up in {@code
+   * session}.
+   */
   static BatchStatements of(List<Frame> frames, SessionState session) throws Frame.Malformed {
     var statements = new ArrayList<Statement>(2);
     String text = "";
@@ -53,7 +56,7 @@
         return Part.of(prepared);
       }
       case 'B' -> {
-        r.text(); // the portal
+        r.text(); // portal name
         String name = r.text();
         return parsedInBatch.containsKey(name) ? Part.NONE : Part.of(session.prepared(name));
       }
@@ -66,6 +69,7 @@
     }
   }
 
+  /** Whether the batch consists of a BEGIN alone. */
   boolean onlyBegins() {
     return statements.size() == 1 && statements.get(0).kind() == Kind.BEGIN;
   }
--- a/src/main/java/crankspar/pooling/Frame.java
+++ b/src/main/java/crankspar/pooling/Frame.java
@@ -9,35 +9,32 @@
 import java.util.Map;
 
 /**
- * One message of PostgreSQL's protocol 3.0, as it stands on the wire with its type and length, so
- * that what is only passed on is neither taken apart nor put together again. A data message too
- * long to hold comes in pieces: the first with its head, the others as {@link #PART}.
+ * One message of PostgreSQL's protocol 3.0 in wire format, including type and length, so that
+ * forwarded messages are neither decoded nor encoded again. A data message too long to buffer
+ * arrives in pieces: the first with the header, the others as {@link #PART}.
  *
- * @param wire all the bytes, the five of the head among them; a part has no head
- * @param whole false while pieces of it are still to come
+ * @param wire all bytes including the five of the header; a part has no header
+ * @param whole false while further pieces are to come
  */
 public record Frame(char type, byte[] wire, boolean whole) {
-  /** A further piece of the data message before it. */
+  /** A further piece of the preceding data message. */
   public static final char PART = 1;
 
-  /** Message types of a start, which have no letter on the wire. */
+  /** Startup messages, which have no type byte on the wire. */
   public static final char STARTUP = 2;
 
   public static final char CANCEL = 3;
   public static final char ENCRYPTION = 4;
   private static final int HEADER_BYTES = 5;
 
-  /**
-   * A message in the form of its fields; they are read in order, and a message that ends too soon
-   * is malformed.
-   */
+  /** A message that violates the protocol, such as one that ends before its last field. */
   public static final class Malformed extends Exception {
     public Malformed(String message) {
       super(message);
     }
   }
 
-  /** Reads a frame's body. */
+  /** Reads the fields of a message body in order. */
   public static final class Reader {
     private final byte[] bytes;
     private int at;
@@ -49,7 +46,7 @@
 
     private int advance(int n) throws Malformed {
       if (n < 0 || bytes.length - at < n) {
-        throw new Malformed("a message ends too soon");
+        throw new Malformed("message is truncated");
       }
       at += n;
       return at - n;
@@ -70,7 +67,7 @@
     public String text() throws Malformed {
       int start = at;
       while (bytes[advance(1)] != 0) {
-        // up to the zero
+        // skip to the terminating zero byte
       }
       return new String(bytes, start, at - 1 - start, StandardCharsets.UTF_8);
     }
@@ -91,7 +88,7 @@
     }
   }
 
-  /** Writes a frame's body. */
+  /** Writes the fields of a message body in order. */
   public static final class Body {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream(64);
 
@@ -137,12 +134,12 @@
     return new Reader(wire, type == PART ? 0 : type < ' ' ? 4 : HEADER_BYTES);
   }
 
-  /** Whether it is a client's message of the extended protocol that a Sync has to follow. */
+  /** Whether it is a client message of the extended protocol that a Sync has to follow. */
   boolean beginsBatch() {
     return type == 'P' || type == 'B' || type == 'D' || type == 'C' || type == 'E';
   }
 
-  /** Whether a batch of its client's ends with it: what comes next is another. */
+  /** Whether it ends a batch of the client: the next message begins another. */
   boolean endsBatch() {
     return type == 'S' || type == 'Q' || type == 'F';
   }
@@ -156,7 +153,7 @@
     return (type < ' ' ? "#" + (int) type : String.valueOf(type)) + wire.length;
   }
 
-  // ---- The ones that are made here.
+  // ---- Messages created by the pooler.
   static final Frame SYNC = body().as('S');
   static final Frame PARSE_COMPLETE = body().as('1');
   static final Frame CLOSE_COMPLETE = body().as('3');
@@ -183,7 +180,12 @@
     return body().code(kind).text(name).as('C');
   }
 
-  /** The severity is ERROR or FATAL; the detail may be null. */
+  /**
+   * Returns an ErrorResponse.
+   *
+   * @param severity ERROR or FATAL
+   * @param detail may be null
+   */
   public static Frame error(String severity, String code, String message, String detail) {
     Body b =
         body()
@@ -198,7 +200,7 @@
     return (detail == null ? b : b.code('D').text(detail)).code((char) 0).as('E');
   }
 
-  /** The fields of an ErrorResponse or NoticeResponse by their letters. */
+  /** Returns the fields of an ErrorResponse or NoticeResponse by their type letters. */
   public Map<Character, String> fields() throws Malformed {
     var fields = new LinkedHashMap<Character, String>();
     Reader r = read();
@@ -208,7 +210,7 @@
     return fields;
   }
 
-  /** Columns of text. */
+  /** Returns a RowDescription of text columns. */
   public static Frame columns(List<String> names) {
     Body b = body().int16(names.size());
     for (String name : names) {
@@ -217,6 +219,7 @@
     return b.as('T');
   }
 
+  /** Returns a DataRow of text values; null is SQL NULL. */
   public static Frame row(List<String> values) {
     Body b = body().int16(values.size());
     for (String value : values) {
@@ -230,7 +233,7 @@
     return b.as('D');
   }
 
-  /** A start as a client sends it, which has no letter. */
+  /** Returns the startup message of a client, which has no type byte. */
   public static byte[] startup(int version, Map<String, String> parameters) {
     Body b = body().int32(version);
     parameters.forEach((k, v) -> b.text(k).text(v));
@@ -238,14 +241,14 @@
     return Arrays.copyOfRange(whole, 1, whole.length);
   }
 
-  /** Asks a server to stop what the connection with this key runs. */
+  /** Returns a CancelRequest for the connection with this key. */
   public static byte[] cancel(int process, int secret) {
     byte[] whole =
         body().int32(FrameDecoder.CANCEL_REQUEST_CODE).int32(process).int32(secret).as('x').wire();
     return Arrays.copyOfRange(whole, 1, whole.length);
   }
 
-  /** Several frames in one piece. */
+  /** Concatenates the bytes of several frames. */
   public static byte[] join(List<Frame> frames) {
     if (frames.size() == 1) {
       return frames.get(0).wire;
--- a/src/main/java/crankspar/pooling/FrameDecoder.java
+++ b/src/main/java/crankspar/pooling/FrameDecoder.java
@@ -4,16 +4,19 @@
 import java.util.Arrays;
 
 /**
- * Cuts a byte stream into frames, however it was fragmented. It keeps at most one message, or one
- * piece of a long data message, and between messages nothing at all: an idle client costs no
- * buffer. A length that no message of its type may have is refused at the head, before any of it is
- * held.
+ * Decodes a byte stream into frames, however it is fragmented. It buffers at most one message, or
+ * one piece of a long data message, and nothing between messages, so that an idle client costs no
+ * buffer. A length that is invalid for the message type is rejected at the header, before any of
+ * the body is buffered.
  */
 public final class FrameDecoder {
-  /** No statement, parameter or description is longer than this. */
+  /** Maximum length of statements, parameters and descriptions, in bytes. */
   public static final int MAX_BUFFERED_LENGTH = 1 << 20;
 
-  /** Data messages up to this are held whole; longer ones come out in pieces of up to this. */
+  /**
+   * Data messages up to this size, in bytes, are decoded whole; longer ones in pieces of at most
+   * this size.
+   */
   public static final int MAX_PIECE_BYTES = 64 * 1024;
 
   static final int CANCEL_REQUEST_CODE = 80877102;
@@ -31,12 +34,18 @@
   /** Bytes of a long data message that are still to come. */
   private long remaining;
 
-  /** What a client sends begins with a start that has no letter; what a server sends does not. */
+  /**
+   * Creates a decoder.
+   *
+   * @param fromClient whether the stream comes from a client and so begins with a startup message,
+   *     which has no type byte
+   */
   public FrameDecoder(boolean fromClient) {
     this.fromClient = fromClient;
     started = !fromClient;
   }
 
+  /** Adds received bytes. */
   public void feed(ByteBuffer in) {
     int n = in.remaining();
     if (writeIndex + n > buffer.length) {
@@ -53,7 +62,7 @@
     writeIndex += n;
   }
 
-  /** The next frame, or null until more bytes have come. */
+  /** Returns the next frame, or null until more bytes arrive. */
   public Frame next() throws Frame.Malformed {
     if (remaining > 0) {
       int n = (int) Math.min(Math.min(remaining, MAX_PIECE_BYTES), writeIndex - readIndex);
@@ -74,9 +83,9 @@
     char type = (char) (buffer[readIndex] & 0xff);
     if (length < 4 || length > maxLength(type)) {
       throw new Frame.Malformed(
-          "a message of type "
+          "invalid message of type "
               + (type > ' ' && type < 127 ? type : '?')
-              + " and "
+              + ", length "
               + length
               + " bytes");
     }
@@ -94,7 +103,7 @@
 
   private Frame decodeStartup(int length) throws Frame.Malformed {
     if (length < 8 || length > MAX_STARTUP_LENGTH) {
-      throw new Frame.Malformed("a start of " + length + " bytes");
+      throw new Frame.Malformed("invalid startup message of " + length + " bytes");
     }
     if (writeIndex - readIndex < length) {
       return null;
@@ -121,23 +130,23 @@
     return null;
   }
 
-  /** Whether no byte of a next message has come. */
+  /** Whether no byte of a further message has arrived. */
   public boolean atMessageBoundary() {
     return readIndex == writeIndex && remaining == 0;
   }
 
-  /** The type of the message whose beginning has come. */
+  /** Returns the type of the message that has partly arrived, or 0 if there is none. */
   public char headType() {
     return readIndex == writeIndex ? 0 : (char) (buffer[readIndex] & 0xff);
   }
 
-  /** Bytes that wait for the rest of their message. */
+  /** Returns the number of buffered bytes that await the rest of their message. */
   public int bufferedBytes() {
     return writeIndex - readIndex;
   }
 
   /**
-   * The most that a message of this type may tell as its length; none for a type that this side
+   * Returns the maximum value of the length field of a message type, 0 for a type that this side
    * never sends.
    */
   private int maxLength(char type) {
--- a/src/main/java/crankspar/pooling/OptionsChange.java
+++ b/src/main/java/crankspar/pooling/OptionsChange.java
@@ -7,14 +7,18 @@
 import org.pcollections.PMap;
 
 /**
- * The statements around a Parse that has to be read under other options than its session's present
- * ones. They run in the client's own transaction: where that is rolled back, so are they.
+ * Statements to run around a Parse that requires options other than the session's current ones.
+ * They run in the client's own transaction and are rolled back with it.
  *
- * @param before bring about the options of the Parse
- * @param after restore the session's, and those local to its transaction
+ * @param before establishes the options that the Parse requires
+ * @param after restores the options of the session and those local to its transaction
  */
 record OptionsChange(List<String> before, List<String> after) {
 
+  /**
+   * Returns the statements around a Parse that needs {@code required} in a session with {@code
+   * current}.
+   */
   static OptionsChange around(StatementOptions required, SessionOptions current) {
     PMap<String, String> requiredValues = required.values();
     PMap<String, String> all = current.statementOptions().values();
--- a/src/main/java/crankspar/pooling/Pins.java
+++ b/src/main/java/crankspar/pooling/Pins.java
@@ -7,26 +7,27 @@
 import org.pcollections.PMap;
 
 /**
- * What holds a client to its connection beyond a transaction: state of the server's that no message
- * carries to another connection. Each pin has a way out; a client without pins may be given another
- * connection. Immutable.
+ * Reasons why a client must keep its server connection beyond a transaction: server-side state that
+ * the pooler cannot recreate on another connection. Each kind of pin has a statement or event that
+ * releases it; a client without pins may get another connection. Immutable.
  *
- * @param held what holds, such as {@code LISTEN news}, with how many times
+ * @param held the number of times that each state is held, by kind and name, such as {@code LISTEN
+ *     news}
  */
 public record Pins(PMap<String, Integer> held) {
-  /** The kinds, by the names that operators read and refuse. */
+  /** Kinds of pins; their names appear in operator output and configuration. */
   public enum Kind {
-    /** LISTEN, until UNLISTEN of the channel or of all. */
+    /** LISTEN, until UNLISTEN of the channel or UNLISTEN *. */
     LISTEN,
     /** A cursor WITH HOLD, until it is closed. */
     HOLD,
     /** A temporary table, until it is dropped. */
     TEMPORARY,
-    /** A session's advisory lock, until it is unlocked as often as it was taken. */
+    /** A session-level advisory lock, until it is unlocked as often as it was acquired. */
     LOCK,
     /** LOAD: until the connection ends. */
     LOAD,
-    /** A setting that was changed in a way that its statement does not tell: until DISCARD ALL. */
+    /** A setting changed to a value that its statement does not show, until DISCARD ALL. */
     SETTING
   }
 
@@ -36,7 +37,7 @@
     return held.isEmpty();
   }
 
-  /** The kinds that hold now. */
+  /** Returns the kinds of the current pins. */
   Set<Kind> kinds() {
     var kinds = new TreeSet<Kind>();
     held.keySet().forEach(k -> kinds.add(kind(k)));
@@ -47,7 +48,7 @@
     return Kind.valueOf(key.substring(0, key.indexOf(' ')));
   }
 
-  /** What a statement would pin, or null. */
+  /** Returns the kind of pin that a statement would add, or null. */
   static Kind kindOf(Statement s) {
     return switch (s.kind()) {
       case LISTEN -> Kind.LISTEN;
@@ -60,7 +61,7 @@
     };
   }
 
-  /** After a statement has been done. */
+  /** Returns the pins after a statement has completed. */
   Pins apply(Statement s) {
     Kind kind = kindOf(s);
     if (kind != null) {
@@ -106,7 +107,8 @@
   }
 
   /**
-   * After a rollback: session locks and loaded libraries are not given back by it, taken or let go.
+   * Returns the pins after a rollback. Session-level locks and loaded libraries are not
+   * transactional, so changes to them persist; all other pins return to {@code before}.
    */
   static Pins afterRollback(Pins before, Pins after) {
     if (before == after) {
--- a/src/main/java/crankspar/pooling/Portal.java
+++ b/src/main/java/crankspar/pooling/Portal.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A bound statement. Its first Execute runs it, up to a row or to its end; further ones only fetch
- * what is left, and do nothing more to the session.
+ * A portal. Its first Execute runs the statements, up to its row limit or to completion; further
+ * ones only fetch the remaining rows and have no further effect on the session.
  */
 final class Portal {
   private final List<Statement> statements;
@@ -19,14 +19,18 @@
     return statements;
   }
 
-  /** It is to be executed: returns what that does to the session. */
+  /** Records an Execute and returns the statements whose effects on the session it has. */
   List<Statement> execute() {
     List<Statement> effects = executed ? List.of() : statements;
     executed = true;
     return effects;
   }
 
-  /** The server has passed over its first Execute; {@code run} is what that was to do. */
+  /**
+   * Records that the server skipped an Execute.
+   *
+   * @param effects what {@link #execute} returned for it
+   */
   void executeSkipped(List<Statement> effects) {
     executed &= effects.isEmpty();
   }
--- a/src/main/java/crankspar/pooling/Prepared.java
+++ b/src/main/java/crankspar/pooling/Prepared.java
@@ -11,23 +11,23 @@
 import java.util.WeakHashMap;
 
 /**
- * A prepared statement by its content: text, parameter types and the options under which its text
- * is read. Clients that prepare the same content share one object and, on each server connection,
- * one statement, whose name is a hash of the content. Two clients that give one name to two texts,
- * or prepare one text under two time zones, never meet.
+ * A prepared statement identified by its content: text, parameter types and the options that apply
+ * when its text is parsed. Clients that prepare the same content share one object and, on each
+ * server connection, one statement, which is named by a hash of the content. Two clients that use
+ * one name for two texts, or prepare one text under two time zones, therefore never conflict.
  */
 final class Prepared {
-  /** Before names that are made here; a client's own never reach a server through Parse. */
+  /** Prefix of generated names; names chosen by clients never reach a server in a Parse. */
   static final String NAME_PREFIX = "cp_";
 
   private static final int NAME_BYTES = 16;
 
-  /** What one takes beside its text. */
+  /** Estimated bytes of one object besides its text. */
   private static final int OBJECT_BYTES = 64;
 
   /**
-   * All that are in use anywhere; what no client and no connection holds is forgotten by the
-   * collector.
+   * All statements in use; the garbage collector removes those that no client and no connection
+   * refers to any more.
    */
   private static final Map<Prepared, WeakReference<Prepared>> INTERNED = new WeakHashMap<>();
 
@@ -35,7 +35,10 @@
   private final byte[] types;
   private final StatementOptions options;
 
-  /** The same text and types under no options, or this one: what is read of the text is there. */
+  /**
+   * The same text and types without options, or this object itself if it has none; it caches the
+   * parsed statements.
+   */
   private final Prepared withoutOptions;
 
   private final int hash;
@@ -59,20 +62,24 @@
   }
 
   /**
-   * The one object for this content under no options; {@code types} is the rest of a Parse message
-   * behind its text.
+   * Returns the shared object for this content without options.
+   *
+   * @param types the part of the Parse message after its text
    */
   static Prepared of(String sql, byte[] types) {
     return intern(new Prepared(sql, types));
   }
 
-  /** The same text, prepared under these options. */
+  /** Returns the same text as prepared under these options. */
   Prepared withOptions(StatementOptions options) {
     boolean same = options.equals(this.options) || options() == StatementOptions.ANY;
     return same ? this : intern(new Prepared(withoutOptions, options));
   }
 
-  /** Those under which its text is read. */
+  /**
+   * Returns the options that apply when its text is parsed, or {@link StatementOptions#ANY} if they
+   * do not matter.
+   */
   StatementOptions options() {
     boolean onlyTransactionControl =
         statements().stream().allMatch(Sql.Statement::transactionControl);
@@ -93,12 +100,12 @@
     return sql;
   }
 
-  /** What it counts against a client's bound. */
+  /** Returns the bytes that count towards the memory limit of its client. */
   int memoryBytes() {
     return sql.length() + types.length + options.memoryBytes() + OBJECT_BYTES;
   }
 
-  /** Its name on servers. */
+  /** Returns its name on server connections. */
   String name() {
     if (name == null) {
       try {
@@ -110,7 +117,7 @@
         byte[] all = digest.digest();
         name = NAME_PREFIX + HexFormat.of().formatHex(all, 0, NAME_BYTES);
       } catch (NoSuchAlgorithmException e) {
-        throw new IllegalStateException(e); // every runtime has it
+        throw new IllegalStateException(e); // every Java runtime provides SHA-256
       }
     }
     return name;
--- a/src/main/java/crankspar/pooling/ProjectedOptions.java
+++ b/src/main/java/crankspar/pooling/ProjectedOptions.java
@@ -5,29 +5,34 @@
 import java.util.List;
 
 /**
- * A client's options as they will be at the server once all that has been sent there has been done.
- * A statement that fails has the rest of its batch passed over, so that what is sent behind it
- * never meets other options than these.
+ * A client's options as they will be on the server once everything sent to it has completed. After
+ * a statement fails, the server skips the rest of its batch, so statements sent later never run
+ * under options other than these.
  */
 final class ProjectedOptions {
   private final SessionOptions confirmed;
   private SessionOptions projected;
 
-  /** Statements that change options and have not been answered. */
+  /** Number of statements sent that change options and are not answered yet. */
   private int pending;
 
-  /** Whether a COMMIT would be a rollback. */
+  /** Whether a COMMIT would roll back, as the transaction block has failed. */
   private boolean blockFailed;
 
   ProjectedOptions(SessionOptions confirmed) {
     this.confirmed = confirmed;
   }
 
+  /** Returns the options after all statements sent so far. */
   SessionOptions current() {
     return pending == 0 ? confirmed : projected;
   }
 
-  /** These are to be executed; {@code status} is what the server said last of the transaction. */
+  /**
+   * Records statements sent for execution.
+   *
+   * @param status the transaction status that the server reported last
+   */
   void sent(List<Statement> statements, char status) {
     for (Statement s : statements) {
       if (SessionOptions.changedBy(s)) {
@@ -41,7 +46,7 @@
     }
   }
 
-  /** These have been done, and count in the session's own options. */
+  /** Records statements that have completed; the session's own options already include them. */
   void answered(List<Statement> statements) {
     for (Statement s : statements) {
       if (SessionOptions.changedBy(s)) {
@@ -50,7 +55,7 @@
     }
   }
 
-  /** What was sent and not answered will not be done, or has been. */
+  /** Discards the pending statements: they either have completed or will not be executed. */
   void reset() {
     pending = 0;
     projected = null;
--- a/src/main/java/crankspar/pooling/Route.java
+++ b/src/main/java/crankspar/pooling/Route.java
@@ -11,17 +11,22 @@
 import java.util.regex.Pattern;
 
 /**
- * What a transaction asks of the module: its class, its group, how long its client waits and the
- * position that it must see. A comment before its first statement says so, or the database's
- * settings do. Reads may be mapped to a class of their own and so reach replicas; everything that
- * is not known to be a read goes the way of writes.
+ * Determines the request parameters of a transaction: request class, group, timeout and the
+ * replication position that it must see. They come from a comment before its first statement or
+ * from the settings of the database. Reads may be mapped to a class of their own, which lets them
+ * run on replicas; every statement not known to be a read is routed as a write.
  */
 final class Route {
-  /** The way of one transaction. {@code ttl} is ms, {@code mark} Unix ms or NaN. */
+  /**
+   * Request parameters of one transaction.
+   *
+   * @param timeoutMs how long the client waits for it, in ms
+   * @param minPosition position that it must see, Unix ms, or NaN for none
+   */
   record RoutingDecision(
       int requestClass, int group, double timeoutMs, double minPosition, boolean write) {}
 
-  /** Why a transaction is not taken, with its SQLSTATE. */
+  /** A transaction that is rejected, with its SQLSTATE. */
   static final class Refused extends Exception {
     final String code;
 
@@ -45,7 +50,7 @@
     settings.classes().forEach(c -> classIndexes.put(c.name(), classIndexes.size()));
   }
 
-  /** The number of a class, or null. */
+  /** Returns the index of a request class, or null if there is no such class. */
   Integer classIndex(String name) {
     return classIndexes.get(name);
   }
@@ -55,10 +60,10 @@
   }
 
   /**
-   * The way of an opening batch.
+   * Determines the request parameters of the batch that opens a transaction.
    *
-   * @param text the first statement's text with its comment
-   * @param statements of the batch, in order
+   * @param text the text of the first statement, including its leading comment
+   * @param statements the statements of the batch, in order
    */
   RoutingDecision decide(
       Setup.Database database, String text, List<Statement> statements, SessionState state)
@@ -77,14 +82,16 @@
     }
     Router.RequestClass requestClass = settings.classes().get(classIndex);
     boolean write = requestClass.freshness() == Freshness.WRITE;
-    // Guards against a write that is repeated because its class says that it may be.
+    // A write must not run in a class whose requests may be retried: it could be executed twice.
     if (!write
         && requestClass.freshness() != Freshness.FRESH
         && !provablyReadOnly(statements, state)) {
-      throw new Refused("25006", "class " + name + " is for reads, and this is none by its words");
+      throw new Refused(
+          "25006", "class " + name + " is for reads, and this statement is not known to be a read");
     }
     if (!write && requestClass.freshness() == Freshness.FRESH && !allIdempotent(statements)) {
-      throw new Refused("25006", "class " + name + " is for reads, and this is none by its words");
+      throw new Refused(
+          "25006", "class " + name + " is for reads, and this statement is not known to be a read");
     }
     if (database.mode() == Setup.Mode.SESSION
         && (requestClass.freshness() == Freshness.BOUNDED
@@ -93,7 +100,7 @@
           "0A000",
           "class "
               + name
-              + " has a bound on its age, which a session on one connection cannot keep");
+              + " limits staleness, which mode session cannot guarantee on a single connection");
     }
     double timeoutMs =
         directives.containsKey("d")
@@ -118,7 +125,7 @@
         classIndex, group, timeoutMs, usesPosition ? minPosition : Double.NaN, write);
   }
 
-  /** The read class that the operator has mapped such a batch to, or null. */
+  /** Returns the read class that the operator configured for such a batch, or null. */
   private static String mappedReadClass(
       Setup.Database database, List<Statement> statements, SessionState state) {
     if (statements.isEmpty()) {
@@ -140,8 +147,8 @@
   }
 
   /**
-   * A block must say that it only reads, as the server then sees to it; else each statement must be
-   * a read.
+   * Whether the batch is known to be read-only. A transaction block must be declared READ ONLY,
+   * which the server then enforces; otherwise every statement must be a read.
    */
   private static boolean provablyReadOnly(List<Statement> statements, SessionState state) {
     boolean block = !statements.isEmpty() && statements.get(0).kind() == Kind.BEGIN;
@@ -149,7 +156,7 @@
         && (!block || statements.get(0).readOnly() || state.readOnlyByDefault());
   }
 
-  /** Names and values of a comment that leads; a comment of another form says nothing to us. */
+  /** Parses the directives of a leading comment; a comment in any other form yields none. */
   static Map<String, String> directives(String text) {
     Matcher m = LEADING_COMMENT.matcher(text);
     if (!m.matches()) {
--- a/src/main/java/crankspar/pooling/SessionOptions.java
+++ b/src/main/java/crankspar/pooling/SessionOptions.java
@@ -6,20 +6,22 @@
 import org.pcollections.PMap;
 
 /**
- * What SET, SET LOCAL, RESET and pins amount to in one session; they follow transactions and
- * savepoints as PostgreSQL has them do.
+ * Options and pins of one session as they result from SET, SET LOCAL, RESET and pinning statements.
+ * They follow transactions and savepoints as in PostgreSQL.
  */
 final class SessionOptions {
   /**
-   * What is in force.
+   * The values in effect.
    *
-   * @param session by name as SQL text, up to the session's end
-   * @param local the same, up to the transaction's end, before those of the session
-   * @param unknown tells settings of the session's that nobody knows from any others, or null
+   * @param session values as SQL text by name, valid until the session ends
+   * @param local values as SQL text by name, valid until the transaction ends; they override those
+   *     of the session
+   * @param unknownToken unique token of session settings whose values are not known, or null; it
+   *     makes them unequal to any others
    */
   private record Effective(
       PMap<String, String> session, PMap<String, String> local, Pins pins, String unknownToken) {
-    /** None but what a session begins with. */
+    /** Returns the startup values alone. */
     static Effective start(PMap<String, String> base, Pins pins) {
       return new Effective(base, HashTreePMap.empty(), pins, null);
     }
@@ -38,7 +40,7 @@
           : new Effective(session, HashTreePMap.empty(), pins, unknownToken);
     }
 
-    /** An option of the session's; a local value of it is over. */
+    /** Returns a copy with a changed session option; a local value of the same option ends. */
     Effective withSession(PMap<String, String> changed, String name) {
       return new Effective(changed, local.minus(name), pins, unknownToken);
     }
@@ -55,15 +57,16 @@
 
   private static final AtomicLong UNKNOWN_TOKENS = new AtomicLong();
 
-  /** What the client asked for at its start, to which RESET returns. */
+  /** Startup options of the client, to which RESET returns. */
   private final PMap<String, String> base;
 
   private final TransactionalValue<Effective> effective;
   private boolean inBlock;
 
-  /** The last answer of {@link #statementOptions} and what it was worked out from. */
+  /** The values from which {@link #cached} was computed. */
   private Effective cachedFrom;
 
+  /** Last result of {@link #statementOptions}. */
   private StatementOptions cached;
 
   SessionOptions(PMap<String, String> base) {
@@ -80,12 +83,15 @@
     inBlock = other.inBlock;
   }
 
-  /** The session's, by name as SQL text; what is local to a transaction is not among them. */
+  /**
+   * Returns the options of the session by name, values as SQL text, without those local to a
+   * transaction.
+   */
   PMap<String, String> session() {
     return effective.current().session();
   }
 
-  /** What is local to the present transaction, by name as SQL text. */
+  /** Returns the options local to the current transaction by name, values as SQL text. */
   PMap<String, String> local() {
     return effective.current().local();
   }
@@ -94,7 +100,7 @@
     return effective.current().pins();
   }
 
-  /** Those under which a statement that is prepared now is read. */
+  /** Returns the options that apply to the parsing of a statement prepared now. */
   StatementOptions statementOptions() {
     Effective now = effective.current();
     if (now != cachedFrom) {
@@ -104,12 +110,12 @@
     return cached;
   }
 
-  /** Others that go on from here by themselves. */
+  /** Returns an independent copy. */
   SessionOptions copy() {
     return new SessionOptions(this);
   }
 
-  /** Whether such a statement changes anything here. */
+  /** Whether a statement of this kind can change options, or the transaction that they follow. */
   static boolean changedBy(Statement s) {
     return switch (s.kind()) {
       case SET,
@@ -130,7 +136,9 @@
     };
   }
 
-  /** A statement has been done; the tag tells a COMMIT that was none. */
+  /**
+   * Applies a completed statement; the command tag shows whether a COMMIT was in fact a rollback.
+   */
   void apply(Statement s, String tag) {
     Effective now = effective.current();
     switch (s.kind()) {
@@ -164,7 +172,8 @@
   }
 
   /**
-   * What is read from now on up to the transaction's end is read under settings unlike any other.
+   * Marks the options as unknown until the transaction's end: statements prepared until then are
+   * shared with no others.
    */
   private static Effective unknownUntilTransactionEnd(Effective now) {
     return now.withLocal(StatementOptions.UNKNOWN, nextUnknownToken());
@@ -175,8 +184,9 @@
   }
 
   /**
-   * Up to the transaction's end the server has its own default, not what this client began with:
-   * what that default is nobody here knows.
+   * Applies a RESET of one option. Until the transaction ends, the server uses its own default
+   * rather than the client's startup value; that default is not known here, so the options count as
+   * unknown until then.
    */
   private Effective reset(Effective now, String name) {
     return base.containsKey(name)
@@ -185,7 +195,10 @@
         : now.withSession(now.session().minus(name), name);
   }
 
-  /** Outside a block servers may warn and take it or leave it: what holds then is not known. */
+  /**
+   * Applies SET LOCAL. Outside a transaction block a server may warn and either apply or ignore it,
+   * so the options count as unknown until the end of the transaction.
+   */
   private Effective setLocal(Effective now, Statement s) {
     Effective set = now.withLocal(s.name(), s.value());
     return inBlock ? set : unknownUntilTransactionEnd(set);
@@ -208,12 +221,15 @@
     }
   }
 
-  /** A statement failed: outside a block its implicit transaction is undone at the next ready. */
+  /**
+   * Records a failed statement: outside a block its implicit transaction is rolled back at the next
+   * ReadyForQuery.
+   */
   void statementFailed() {
     effective.statementFailed();
   }
 
-  /** The server is ready in this state. */
+  /** Handles ReadyForQuery with its transaction status. */
   void ready(char status) {
     inBlock = status != 'I';
     effective.ready(status);
@@ -222,7 +238,7 @@
     }
   }
 
-  /** The connection is lost, and the transaction with it; nothing pins any more. */
+  /** Rolls back the transaction, which ended with its server connection, and removes all pins. */
   void connectionLost() {
     inBlock = false;
     effective.rollback();
--- a/src/main/java/crankspar/pooling/SessionState.java
+++ b/src/main/java/crankspar/pooling/SessionState.java
@@ -9,10 +9,11 @@
 import org.pcollections.PMap;
 
 /**
- * What a client expects to find again, whichever connection its next transaction lands on: options,
- * prepared statements of both kinds, and the position that its next read must see. Options and pins
- * follow transactions and savepoints as PostgreSQL has them do; prepared statements do not. An idle
- * client's state is a few references to shared values.
+ * Session state that is restored on whichever server connection runs the client's next transaction:
+ * options, prepared statements (of the extended protocol and of SQL PREPARE) and the replication
+ * position that its next read must reach. Options and pins follow transactions and savepoints as in
+ * PostgreSQL; prepared statements do not. The state of an idle client is a few references to shared
+ * values.
  */
 final class SessionState {
   private final SessionOptions options;
@@ -21,7 +22,7 @@
   private int preparedBytes;
   private Prepared unnamed;
 
-  /** The parameters that the client was told of. */
+  /** Server parameters last reported to the client by ParameterStatus. */
   private PMap<String, String> reportedParameters = HashTreePMap.empty();
 
   private double lastCommitPosition = Double.NaN;
@@ -30,7 +31,10 @@
     options = new SessionOptions(base);
   }
 
-  /** The state of a client that starts with these parameters; what is no option is left out. */
+  /**
+   * Returns the state of a client with these startup parameters; those that are not options are
+   * ignored.
+   */
   static SessionState of(Map<String, String> startup) {
     PMap<String, String> base = HashTreePMap.empty();
     for (Map.Entry<String, String> e : startup.entrySet()) {
@@ -50,8 +54,8 @@
   }
 
   /**
-   * {@code -c name=value} and {@code --name=value}, with a backslash before a space that belongs to
-   * a value.
+   * Parses the startup parameter {@code options}: {@code -c name=value} and {@code --name=value},
+   * where a backslash escapes a space within a value.
    */
   private static Map<String, String> commandLineOptions(String text) {
     var all = new LinkedHashMap<String, String>();
@@ -74,17 +78,17 @@
     return all;
   }
 
-  /** Those of the session, by name as SQL text. */
+  /** Returns the options set for the session, by name, with values as SQL text. */
   PMap<String, String> options() {
     return options.session();
   }
 
-  /** With what is local to a transaction, and how they come about. */
+  /** Returns all option state, including values local to the current transaction. */
   SessionOptions sessionOptions() {
     return options;
   }
 
-  /** Statements of SQL's PREPARE by name. */
+  /** Returns the statements created by SQL PREPARE, by name. */
   PMap<String, SqlPrepared> sqlPrepared() {
     return sqlPrepared;
   }
@@ -101,32 +105,34 @@
     reportedParameters = parameters;
   }
 
+  /** Returns the position of the newest commit, or NaN before the first one. */
   double lastCommitPosition() {
     return lastCommitPosition;
   }
 
-  /** Its newest commit: never back. */
+  /** Records the position of a commit; the last commit position never decreases. */
   void committedAt(double position) {
     lastCommitPosition =
         Double.isNaN(lastCommitPosition) ? position : Math.max(lastCommitPosition, position);
   }
 
-  /** Whether its transactions only read unless they say otherwise. */
+  /** Whether transactions are read-only by default ({@code default_transaction_read_only}). */
   boolean readOnlyByDefault() {
     String value = options().get("default_transaction_read_only");
     return value != null && value.toLowerCase(Locale.ROOT).matches("'?(on|true|yes|1)'?");
   }
 
-  // ---- Statements of the protocol's.
+  // ---- Prepared statements of the extended protocol.
   Prepared prepared(String name) {
     return name.isEmpty() ? unnamed : prepared.get(name);
   }
 
+  /** Returns the number of named statements of both kinds. */
   int statementCount() {
     return prepared.size() + sqlPrepared.size();
   }
 
-  /** Bytes of all that is prepared. */
+  /** Returns the estimated size in bytes of all named prepared statements. */
   int preparedBytes() {
     return preparedBytes;
   }
@@ -147,7 +153,7 @@
     preparedBytes += statement.memoryBytes() - (before == null ? 0 : before.memoryBytes());
   }
 
-  /** Forgets it; returns what it was, or null. */
+  /** Removes a statement and returns it, or null if there was none. */
   Prepared close(String name) {
     if (name.isEmpty()) {
       Prepared was = unnamed;
@@ -159,19 +165,24 @@
     return was;
   }
 
-  /** What a statement does to its session: an EXECUTE does what is prepared under its name. */
+  /**
+   * Returns the statement whose effect on the session applies: for an EXECUTE of a prepared
+   * statement that changes the session, that statement.
+   */
   Statement effect(Statement s) {
     SqlPrepared executed = s.kind() == Sql.Kind.EXECUTE ? sqlPrepared.get(s.name()) : null;
     return executed == null || executed.effect() == null ? s : executed.effect();
   }
 
-  /** The same for several. */
+  /** Applies {@link #effect} to each statement. */
   List<Statement> effects(List<Statement> statements) {
     return sqlPrepared.isEmpty() ? statements : statements.stream().map(this::effect).toList();
   }
 
-  // ---- What happens, in the order in which the server says so.
-  /** A statement has been done; the tag tells a COMMIT that was none. */
+  // ---- Events, in the order in which the server reports them.
+  /**
+   * Applies a completed statement; the command tag shows whether a COMMIT was in fact a rollback.
+   */
   void apply(Statement s, String tag) {
     switch (s.kind()) {
       case PREPARE -> {
@@ -214,7 +225,7 @@
     options.ready(status);
   }
 
-  /** The connection is lost, and the transaction with it: what it changed is as before. */
+  /** Rolls back the changes of the current transaction, which ended with its server connection. */
   void connectionLost() {
     options.connectionLost();
   }
--- a/src/main/java/crankspar/pooling/Sql.java
+++ b/src/main/java/crankspar/pooling/Sql.java
@@ -8,20 +8,20 @@
 import java.util.Set;
 
 /**
- * Reads statements as far as pooling must: where each begins and ends, and what it does to the
- * state of its session. It cuts words, quotes, dollar quotes and nested comments as PostgreSQL
- * does, and knows no grammar beyond the first words. What it does not know counts as a write, which
- * is the safe side for routing and for repeating.
+ * Parses statements as far as pooling requires: where each begins and ends, and how it affects the
+ * state of its session. Words, quotes, dollar quotes and nested comments are tokenized as in
+ * PostgreSQL; beyond the first words of a statement no grammar is known. An unknown statement
+ * counts as a write, which is the safe choice for routing and for retries.
  */
 final class Sql {
-  /** What a statement does to its session. */
+  /** Kinds of statements, by their effect on the session. */
   enum Kind {
     /**
-     * SELECT, VALUES, TABLE, SHOW, EXPLAIN without ANALYZE: it leaves nothing behind, as far as its
-     * words tell.
+     * SELECT, VALUES, TABLE, SHOW, EXPLAIN without ANALYZE, FETCH and others that leave nothing
+     * behind as far as their text shows.
      */
     READ,
-    /** Any other. */
+    /** Any statement of no other kind. */
     WRITE,
     BEGIN,
     COMMIT,
@@ -30,9 +30,9 @@
     RELEASE,
     ROLLBACK_TO,
     PREPARE_TRANSACTION,
-    /** SET of the session's; name and value are told. */
+    /** SET for the session, with its name and value. */
     SET,
-    /** SET LOCAL, its name and value told, and SET TRANSACTION: gone with the transaction. */
+    /** SET LOCAL, with its name and value, and SET TRANSACTION: both end with the transaction. */
     SET_LOCAL,
     RESET,
     RESET_ALL,
@@ -56,22 +56,23 @@
     UNLOCK_ALL,
     LOAD,
     /**
-     * A setting changed in a way that its words do not tell: set_config with anything but two
-     * literals.
+     * A setting changed to a value that the text does not show: {@code set_config} with anything
+     * but two literals.
      */
     SET_UNKNOWN,
-    /** The same, but gone with the transaction. */
+    /** As {@link #SET_UNKNOWN}, until the end of the transaction. */
     SET_LOCAL_UNKNOWN
   }
 
   /**
    * One statement.
    *
-   * @param text as it came, without the semicolon
-   * @param name what it names: an option, a savepoint, a statement, a channel, a cursor, a table,
-   *     lock's arguments
-   * @param value an option's value as SQL text, or null
-   * @param readOnly BEGIN: READ ONLY was said; others: whether nothing is left behind
+   * @param text the statement as received, without the semicolon
+   * @param name the name that it refers to: an option, savepoint, prepared statement, channel,
+   *     cursor or table, or the arguments of an advisory lock
+   * @param value the value of an option as SQL text, or null
+   * @param readOnly for BEGIN: whether READ ONLY was specified; for others: whether nothing is left
+   *     behind
    */
   record Statement(Kind kind, String text, String name, String value, boolean readOnly) {
     boolean transactionControl() {
@@ -81,7 +82,7 @@
       };
     }
 
-    /** Whether running it twice is the same as once, as far as its words tell. */
+    /** Whether executing it twice has the same effect as once, as far as its text shows. */
     boolean idempotent() {
       return switch (kind) {
         case READ,
@@ -108,7 +109,7 @@
   private static final Set<String> SESSION_UNLOCK_FUNCTIONS =
       Set.of("pg_advisory_unlock", "pg_advisory_unlock_shared");
 
-  /** Functions by which a SELECT writes. */
+  /** Functions that make a SELECT a write. */
   private static final Set<String> WRITING_FUNCTIONS =
       Set.of(
           "nextval",
@@ -133,7 +134,7 @@
 
   private Sql() {}
 
-  /** The statements of a text; a text of none gives none. */
+  /** Splits a text into its statements; the result is empty if there are none. */
   static List<Statement> split(String sql) {
     var all = new ArrayList<Statement>(1);
     List<SqlToken> tokens = SqlToken.tokenize(sql);
@@ -150,7 +151,10 @@
     return all;
   }
 
-  /** The statement behind {@code PREPARE name (types) AS}; an unknown one where there is none. */
+  /**
+   * Returns the statement after {@code PREPARE name (types) AS}, or a {@link Kind#WRITE} if there
+   * is none.
+   */
   static Statement preparedBody(String prepare) {
     List<SqlToken> tokens = SqlToken.tokenize(prepare);
     for (int i = 0; i + 1 < tokens.size(); i++) {
@@ -162,7 +166,7 @@
     return of(Kind.WRITE, prepare);
   }
 
-  /** A value as a literal. */
+  /** Returns a value as a string literal. */
   static String literal(String value) {
     String quoted = value.replace("'", "''");
     return value.indexOf('\\') < 0
@@ -170,11 +174,12 @@
         : " E'" + quoted.replace("\\", "\\\\") + "'";
   }
 
+  /** Returns a name as a quoted identifier. */
   static String identifier(String name) {
     return "\"" + name.replace("\"", "\"\"") + "\"";
   }
 
-  // ---- Statements.
+  // ---- Classification of statements.
   static Statement of(Kind kind, String text) {
     return new Statement(kind, text, null, null, false);
   }
--- a/src/main/java/crankspar/pooling/SqlSettings.java
+++ b/src/main/java/crankspar/pooling/SqlSettings.java
@@ -9,19 +9,20 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Reads statements that change settings: SET, RESET and {@code set_config}. */
+/** Parses statements that change settings: SET, RESET and {@code set_config}. */
 final class SqlSettings {
-  /** The value that goes back to what the session began with. */
+  /** The value that restores the default of the session. */
   static final String DEFAULT = "DEFAULT";
 
-  /** A setting's name as a literal that needs no reading. */
+  /** A literal setting name without escapes or quotes to interpret. */
   private static final String PLAIN_NAME = "'[A-Za-z_][A-Za-z0-9_.]*'";
 
   private SqlSettings() {}
 
   /**
-   * {@code set_config('name', 'value', false)}: two literals are a SET, or a SET LOCAL. Of several
-   * that are all local it is known that they end with the transaction; all else is not known.
+   * Classifies a call such as {@code set_config('name', 'value', false)}: with two literals it is a
+   * SET or a SET LOCAL. Several calls that are all local are known to end with the transaction; the
+   * effect of anything else is unknown.
    */
   static Statement setConfig(List<SqlToken> t, String text) {
     var calls = new ArrayList<Statement>(1);
@@ -73,7 +74,7 @@
             : name.equals("session") ? "session_authorization" : qualifiedName(t, 1));
   }
 
-  /** A name with its parts: custom options have two. */
+  /** Returns a name with all its parts: a custom option has two. */
   private static String qualifiedName(List<SqlToken> t, int at) {
     String name = wordAt(t, at);
     while (at + 2 < t.size() && t.get(at + 1).kind() == '.') {
@@ -97,7 +98,7 @@
     return assignment(t, at, text);
   }
 
-  /** The same up to the transaction's end; DEFAULT is a value like others there. */
+  /** Converts a SET to its SET LOCAL form, in which DEFAULT is a value like any other. */
   private static Statement toLocal(Statement set, String text) {
     return switch (set.kind()) {
       case SET -> new Statement(Kind.SET_LOCAL, text, set.name(), set.value(), false);
@@ -107,7 +108,7 @@
     };
   }
 
-  /** What stands behind SET, SET SESSION and SET LOCAL. */
+  /** Parses the assignment after SET, SET SESSION or SET LOCAL. */
   private static Statement assignment(List<SqlToken> t, int at, String text) {
     String first = wordAt(t, at);
     int base = t.get(0).from();
@@ -146,7 +147,7 @@
   }
 
   /**
-   * {@code SET SESSION CHARACTERISTICS AS TRANSACTION ...}: defaults of the transactions to come.
+   * {@code SET SESSION CHARACTERISTICS AS TRANSACTION ...}: defaults for subsequent transactions.
    */
   private static Statement sessionCharacteristics(List<SqlToken> t, String text) {
     boolean only = containsSequence(t, "read", "only");
--- a/src/main/java/crankspar/pooling/SqlToken.java
+++ b/src/main/java/crankspar/pooling/SqlToken.java
@@ -5,18 +5,19 @@
 import java.util.Locale;
 
 /**
- * A word ({@code w}, in lower case), a quoted name ({@code i}), a string ({@code s}), a number
- * ({@code n}) or a single sign, as PostgreSQL cuts them; comments give none.
+ * A token as PostgreSQL's lexer separates them: a word (kind {@code w}, in lower case), a quoted
+ * identifier ({@code i}), a string ({@code s}), a number ({@code n}) or a single character, which
+ * is its own kind. Comments yield no tokens.
  *
- * @param from where it begins in the text
- * @param to where it ends
+ * @param from offset of its first character in the text
+ * @param to offset after its last character
  */
 record SqlToken(char kind, String text, int from, int to) {
   boolean is(String word) {
     return kind == 'w' && text.equals(word);
   }
 
-  /** The tokens of a text. */
+  /** Splits a text into tokens. */
   static List<SqlToken> tokenize(String s) {
     var all = new ArrayList<SqlToken>(16);
     int i = 0;
@@ -98,7 +99,9 @@
     return Math.min(i, s.length());
   }
 
-  /** Where the tag of a dollar quote ends, or 0 where there is none. */
+  /**
+   * Returns the offset after the opening tag of a dollar quote, or 0 if there is none at {@code i}.
+   */
   private static int endOfDollarTag(String s, int i) {
     int end = i + 1;
     while (end < s.length()
@@ -114,14 +117,14 @@
     return name.length() < 2 ? name : name.substring(1, name.length() - 1).replace("\"\"", "\"");
   }
 
-  /** The word or name at a place, or nothing. */
+  /** Returns the word or quoted identifier at an index, or an empty string if there is none. */
   static String wordAt(List<SqlToken> t, int i) {
     return i < t.size() && (t.get(i).kind() == 'w' || t.get(i).kind() == 'i')
         ? t.get(i).text()
         : "";
   }
 
-  /** Whether these words stand there one behind the other. */
+  /** Whether the tokens contain these words in immediate succession. */
   static boolean containsSequence(List<SqlToken> t, String... words) {
     for (int i = 0; i + words.length <= t.size(); i++) {
       int k = 0;
--- a/src/main/java/crankspar/pooling/StatementNames.java
+++ b/src/main/java/crankspar/pooling/StatementNames.java
@@ -4,18 +4,18 @@
 import java.util.function.BiConsumer;
 
 /**
- * Prepared statements of one client on one server connection: under which name the server knows
- * what the client names, and what has to be prepared there first. It hands each message out with
- * the answer that it will have; a null message is spared the server.
+ * Maps one client's prepared statements to their names on one server connection and prepares there
+ * first what is missing. Passes each message to the sender with the reply expected for it; a null
+ * message is answered locally and not sent to the server.
  */
 final class StatementNames {
-  /** A name that no statement has on a server. */
+  /** Name that no statement on a server has. */
   private static final String NONEXISTENT_NAME = Prepared.NAME_PREFIX + "unknown";
 
-  /** SQLSTATE of a name that is taken. */
+  /** SQLSTATE duplicate_prepared_statement. */
   private static final String DUPLICATE_PREPARED_STATEMENT = "42P05";
 
-  /** Before the names of portals of the pooler's own. */
+  /** Prefix of the portals in which the pooler runs its own statements. */
   private static final String INTERNAL_PORTAL_PREFIX = Prepared.NAME_PREFIX + "options_";
 
   private final SessionState client;
@@ -43,17 +43,19 @@
     this.send = send;
   }
 
-  /** Parse messages that have gone to the server. */
+  /** Returns the number of Parse messages sent to the server. */
   long prepares() {
     return prepares;
   }
 
-  /** Those of them that were prepared under options that their client has changed since. */
+  /**
+   * Returns how many of those Parse messages needed options that their client has changed since.
+   */
   long preparedUnderOtherOptions() {
     return preparedUnderOtherOptions;
   }
 
-  /** The client prepares its unnamed statement, in place of the one before. */
+  /** Handles a Parse of the unnamed statement, which replaces the one before. */
   void parseUnnamed(Prepared statement) {
     Prepared before = client.prepared("");
     client.prepare("", statement);
@@ -66,10 +68,12 @@
   }
 
   /**
-   * A name that is taken is an error of the server's, inside a block one that fails it; so it is
-   * asked to prepare the statement that is there once more, which it refuses as it would have. In a
-   * block that has failed it takes some texts and not others, and the one that is there may have to
-   * be prepared first, which it would not take.
+   * Handles a Parse under a name that the client already uses. The server has to raise the error,
+   * because within a transaction block the error fails the block. The existing statement is
+   * therefore prepared once more under its server name, which the server rejects as it would the
+   * client's. A failed block accepts only some texts: if the existing statement is missing on the
+   * server, it could not be prepared there, so the new text is parsed as the unnamed statement and
+   * the error is produced by {@link #failOnServer}.
    */
   void parseDuplicate(String name, Prepared existing, Prepared statement) {
     if (batch.status() == 'E' && !server.has(existing)) {
@@ -83,7 +87,7 @@
     parse(existing.name(), statement, PendingReply.to(Step.PARSE, (Prepared) null));
   }
 
-  /** The client prepares a statement under a name that is free. */
+  /** Handles a Parse under a name that the client does not use yet. */
   void parseNamed(String name, Prepared statement) {
     client.prepare(name, statement);
     Runnable undo = () -> client.close(name);
@@ -102,8 +106,9 @@
   }
 
   /**
-   * The server has it. In a block that has failed it would refuse it all the same; it is asked by
-   * the unnamed statement, which is never taken.
+   * Answers the Parse locally, as the server already has the statement. In a failed block the
+   * server would reject the Parse; there it is sent as the unnamed statement, whose name is never
+   * taken.
    */
   private void skipParse(Prepared statement, Runnable undo) {
     if (batch.status() == 'E') {
@@ -132,7 +137,10 @@
     send.accept(statement.parseMessage(serverName), reply);
   }
 
-  /** The name under which the server knows it; a name that nobody knows goes on as it is. */
+  /**
+   * Returns the server's name for a client's statement, preparing the statement there first if
+   * needed. An unknown name is passed through unchanged.
+   */
   String serverName(String name) {
     Prepared statement = client.prepared(name);
     if (statement == null) {
@@ -148,7 +156,7 @@
     if (statement.equals(server.unnamed())) {
       return "";
     }
-    if (!optionsMatch(statement)) { // options cannot be changed back behind it without losing it
+    if (!optionsMatch(statement)) { // restoring options would replace the unnamed statement
       ensurePrepared(statement);
       return statement.name();
     }
@@ -157,7 +165,10 @@
     return "";
   }
 
-  /** The client has none: what another one left there is not to answer for it. */
+  /**
+   * Closes the unnamed statement on the server; otherwise one left there by another client would
+   * run for this client.
+   */
   private void closeUnnamed() {
     server.unnamed(null);
     sendInternal(Frame.close('S', ""));
@@ -181,7 +192,9 @@
     }
   }
 
-  /** Whether the server would read its text now as when its client prepared it. */
+  /**
+   * Whether the current options on the server give the text the meaning that it had when prepared.
+   */
   private boolean optionsMatch(Prepared statement) {
     StatementOptions required = statement.options();
     return required == StatementOptions.ANY
@@ -189,15 +202,15 @@
   }
 
   /**
-   * Has the server fail what it is in the midst of, by a statement that nobody has; the client
-   * hears this error in its turn.
+   * Makes the server fail the current batch or transaction by binding a statement that does not
+   * exist; the client receives {@code error} in place of the server's error, in order.
    */
   void failOnServer(Frame error) {
     Frame bind = Frame.body().text("").text(NONEXISTENT_NAME).int16(0).int16(0).int16(0).as('B');
     send.accept(bind, PendingReply.internal(null, () -> {}).answeredAs(error));
   }
 
-  /** Runs a statement of the pooler's own within the client's transaction. */
+  /** Runs a statement of the pooler within the client's transaction. */
   private void execute(String sql) {
     String portal = INTERNAL_PORTAL_PREFIX + ++portals;
     server.unnamed(null);
@@ -210,13 +223,13 @@
     send.accept(f, PendingReply.internal(null, () -> {}));
   }
 
-  /** Makes room for a statement: the least recently used ones are closed on the server. */
+  /** Closes the least recently used statements on the server until there is room for a new one. */
   private void evictFor(Prepared statement) {
     for (Prepared old : Carry.statement(server, statement, maxServerStatements).close()) {
       server.remove(old);
       send.accept(Frame.close('S', old.name()), PendingReply.internal(old, () -> server.add(old)));
     }
-    if (server.unfit(statement)) { // it may be there still, under a plan that no longer fits
+    if (server.unfit(statement)) { // may still exist there, with a plan that is no longer valid
       send.accept(
           Frame.close('S', statement.name()),
           PendingReply.internal(statement, () -> server.drop(statement)));
--- a/src/main/java/crankspar/pooling/StatementOptions.java
+++ b/src/main/java/crankspar/pooling/StatementOptions.java
@@ -7,22 +7,25 @@
 import org.pcollections.PMap;
 
 /**
- * The options under which the server reads a statement's text when it is prepared. A constant, a
- * name or an operator means what these make of it, for as long as the statement lives (PostgreSQL's
- * manual, "Message Flow", extended query: a prepared statement is the result of parse analysis).
- * Immutable; equal where a text means the same.
+ * The options that apply when the server parses a statement. They determine the meaning of its
+ * constants, names and operators for the lifetime of the statement (PostgreSQL's manual, "Message
+ * Flow", extended query: a prepared statement is the result of parse analysis). Immutable; two
+ * objects are equal if any text means the same under both.
  */
 final class StatementOptions {
-  /** None set: what a server's connection begins with. */
+  /** No options set, as on a new server connection. */
   static final StatementOptions NONE = new StatementOptions(HashTreePMap.empty());
 
-  /** Of a text that means the same under any, such as COMMIT. */
+  /** Options of a text that means the same under any, such as COMMIT. */
   static final StatementOptions ANY = new StatementOptions(HashTreePMap.empty());
 
-  /** The name that stands for settings which nobody knows; its value is unlike any other. */
+  /**
+   * Placeholder name for settings whose values are not known; its value is unique, so that it never
+   * equals another.
+   */
   static final String UNKNOWN = "";
 
-  /** Options by which no text is read otherwise; what is not among them counts. */
+  /** Options that do not affect parsing; all others are assumed to. */
   private static final Set<String> IGNORED =
       Set.of(
           "application_name",
@@ -46,7 +49,11 @@
     hash = values.hashCode();
   }
 
-  /** Of these options, values as SQL text by name; {@link #UNKNOWN} may be among them. */
+  /**
+   * Returns the options among these that affect parsing.
+   *
+   * @param options values as SQL text by name; {@link #UNKNOWN} may be among the names
+   */
   static StatementOptions of(PMap<String, String> options) {
     PMap<String, String> relevant = options;
     for (String name : options.keySet()) {
@@ -57,12 +64,15 @@
     return relevant.isEmpty() ? NONE : new StatementOptions(relevant);
   }
 
-  /** Values as SQL text, without what is unknown. */
+  /** Returns the values as SQL text by name, without the placeholder of unknown settings. */
   PMap<String, String> values() {
     return values.minus(UNKNOWN);
   }
 
-  /** What it counts against a client's bound: a statement holds it for as long as it lives. */
+  /**
+   * Returns the bytes that count towards the memory limit of a client: a statement holds its
+   * options for as long as it exists.
+   */
   int memoryBytes() {
     int bytes = 0;
     for (Map.Entry<String, String> e : values.entrySet()) {
@@ -71,7 +81,9 @@
     return bytes;
   }
 
-  /** What tells it from others, for a name that is a hash. */
+  /**
+   * Returns a text that is distinct for distinct options, from which statement names are hashed.
+   */
   String key() {
     var key = new StringBuilder();
     for (Map.Entry<String, String> e : new TreeMap<>(values).entrySet()) {
--- a/src/main/java/crankspar/pooling/TransactionalValue.java
+++ b/src/main/java/crankspar/pooling/TransactionalValue.java
@@ -4,17 +4,17 @@
 import java.util.function.BinaryOperator;
 
 /**
- * A value that follows a transaction: what was changed in one that is rolled back is as before,
- * savepoints included. The value itself is immutable, so that a savepoint costs a reference.
+ * A value that follows the transaction: a rollback, also one to a savepoint, restores the earlier
+ * value. The value itself is immutable, so that a savepoint costs one reference.
  *
- * @param <T> an immutable value
+ * @param <T> an immutable type
  */
 final class TransactionalValue<T> {
   private record Savepoint<T>(String name, T value) {}
 
   /**
-   * Savepoints beyond this are not told apart: rolling back to one of them goes back to the last
-   * that is.
+   * Maximum number of tracked savepoints; rolling back to a later one restores the last tracked
+   * one.
    */
   private static final int MAX_SAVEPOINTS = 256;
 
@@ -24,8 +24,10 @@
   private boolean failed;
 
   /**
-   * {@code undone} tells what remains, given the value before and the one given up: some things
-   * outlive a rollback.
+   * Creates a value.
+   *
+   * @param onRollback computes the value after a rollback from the value before and the one rolled
+   *     back, as some changes survive a rollback
    */
   TransactionalValue(T value, BinaryOperator<T> onRollback) {
     committed = current = value;
@@ -36,7 +38,7 @@
     this(value, (before, after) -> before);
   }
 
-  /** One that goes on from here by itself. */
+  /** Returns an independent copy. */
   TransactionalValue<T> copy() {
     var copy = new TransactionalValue<>(committed, onRollback);
     copy.current = current;
@@ -53,7 +55,7 @@
     current = value;
   }
 
-  /** A whole new value, whatever the transaction does: after DISCARD ALL, or at a start. */
+  /** Replaces the value regardless of any transaction: at startup and after DISCARD ALL. */
   void replace(T value) {
     committed = current = value;
     savepoints = null;
@@ -80,16 +82,16 @@
     }
   }
 
-  /** A released savepoint goes with all that came after it; what they changed stays. */
+  /** Removes a savepoint and all later ones; the changes made since are kept. */
   void release(String name) {
     if (hasSavepoint(name)) {
       while (!savepoints.pop().name().equals(name)) {
-        // later ones go too
+        // removes later savepoints too
       }
     }
   }
 
-  /** The savepoint itself stays, to be rolled back to again. */
+  /** Rolls back to a savepoint, which remains and can be rolled back to again. */
   void rollbackTo(String name) {
     if (hasSavepoint(name)) {
       while (!savepoints.peek().name().equals(name)) {
@@ -104,14 +106,14 @@
   }
 
   /**
-   * A statement failed: outside a block, what its implicit transaction did is undone at the next
-   * ready.
+   * Records a failed statement: outside a block its implicit transaction is rolled back at the next
+   * ReadyForQuery.
    */
   void statementFailed() {
     failed = true;
   }
 
-  /** The server is ready: outside a block the implicit transaction has ended. */
+  /** Handles ReadyForQuery: outside a block the implicit transaction has ended. */
   void ready(char status) {
     if (status == 'I') {
       if (failed) {
--- a/src/test/java/crankspar/pooling/DecoderTest.java
+++ b/src/test/java/crankspar/pooling/DecoderTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The decoder of both sides: any split of good bytes gives the same frames, any other bytes an
- * error within bounds.
+ * Tests the decoder for client and server streams: valid bytes yield the same frames however they
+ * are split, and any other bytes are read or rejected without unbounded buffering.
  */
 class DecoderTest {
   private static List<Frame> frames(FrameDecoder d, byte[] bytes, Random pieces)
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Bytes that look like messages, with a length that does not fit. */
+  /** Message-like bytes, some with a length that does not match the body. */
   @Property(seed = "20261201", tries = 2000)
   void damagedMessagesAreReadWithinBounds(@ForAll long seed, @ForAll boolean fromClient) {
     var random = new Random(seed);
@@ -105,7 +105,7 @@
     assertThatThrownBy(d::next).isInstanceOf(Frame.Malformed.class).hasMessageContaining("type Z");
     var c = new FrameDecoder(true);
     c.feed(ByteBuffer.wrap(new byte[] {0x7f, 0, 0, 0}));
-    assertThatThrownBy(c::next).hasMessageContaining("a start of");
+    assertThatThrownBy(c::next).hasMessageContaining("invalid startup message of");
   }
 
   @Test
--- a/src/test/java/crankspar/pooling/RouteTest.java
+++ b/src/test/java/crankspar/pooling/RouteTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which class a transaction asks the module for: nothing that is not known to be a read goes the
- * way of reads.
+ * Tests which request class a transaction gets: a statement not known to be a read must not be
+ * routed as one.
  */
 class RouteTest {
   private final Router.Settings settings = TestSettings.platform();
--- a/src/test/java/crankspar/pooling/SparedParseTest.java
+++ b/src/test/java/crankspar/pooling/SparedParseTest.java
@@ -6,9 +6,12 @@
 import crankspar.lab.Stand;
 import org.junit.jupiter.api.Test;
 
-/** Clients that share a connection, and the statements that the server has from one of them. */
+/**
+ * Tests clients that share a server connection on which a statement is already prepared, so that
+ * its Parse need not be sent.
+ */
 class SparedParseTest extends HardCasesFixture {
-  /** Guards against an answer by the unnamed statement of another client. */
+  /** Guards against running the unnamed statement of another client. */
   @Test
   void aClientWithoutAnUnnamedStatementDoesNotRunAnothersOne() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -20,7 +23,10 @@
     }
   }
 
-  /** Guards against a Parse that is spared though a query of the pooler's undid what was there. */
+  /**
+   * Guards against skipping a Parse of the unnamed statement after a query of the pooler has
+   * removed that statement from the server.
+   */
   @Test
   void anUnnamedStatementIsPreparedAnewBehindAChangeOfOptions() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -41,7 +47,10 @@
     }
   }
 
-  /** Guards against a Parse that a failed block accepts as the server is not asked. */
+  /**
+   * Guards against locally answering a Parse that the server would reject in a failed transaction
+   * block.
+   */
   @Test
   void aParseInAFailedBlockIsRefusedThoughTheServerHasTheStatement() throws Exception {
     try (var stand = new Stand(0, places(2));
@@ -59,7 +68,7 @@
     }
   }
 
-  /** Guards against another error than a connection of its own would have told. */
+  /** Guards against an error that differs from the one on a dedicated connection. */
   @Test
   void aTakenNameInAFailedBlockIsRefusedAsTaken() throws Exception {
     try (var stand = new Stand(0, places(1));
--- a/src/test/java/crankspar/pooling/SqlTest.java
+++ b/src/test/java/crankspar/pooling/SqlTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Guards against a statement that is taken for another: a write for a read, a SET that is missed.
+ * Guards against misclassified statements, such as a write taken for a read or a SET that goes
+ * unnoticed.
  */
 class SqlTest {
   private static Statement only(String sql) {
--- a/src/test/java/crankspar/pooling/StateTest.java
+++ b/src/test/java/crankspar/pooling/StateTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a client finds again, and the messages that bring it: SessionState, ServerState, Carry and
- * Pins.
+ * Tests the state that is carried between connections and the statements that restore it:
+ * SessionState, ServerState, Carry and Pins.
  */
 class StateTest {
   private static void apply(SessionState s, String... statements) {
@@ -129,7 +129,7 @@
             "RESET role; RESET search_path; RESET timezone; DEALLOCATE \"p\"; PREPARE p AS SELECT 2");
   }
 
-  /** Guards against a statement that is shared though its options are known to nobody. */
+  /** Guards against sharing a statement between sessions whose options are not known. */
   @Test
   void unknownSettingsEqualNoOthers() {
     SessionState one = state("TimeZone", "UTC");
@@ -158,7 +158,7 @@
     return session.sessionOptions().statementOptions();
   }
 
-  /** Guards against a heap full of options that only statements still hold. */
+  /** Guards against unbounded heap use by options that only prepared statements still hold. */
   @Test
   void statementOptionsCountTowardsTheClientsMemoryBound() {
     SessionState s = state();
@@ -196,7 +196,7 @@
     Prepared c = Prepared.of("SELECT 'c'", new byte[2]);
     server.add(a);
     server.add(b);
-    assertThat(server.has(a)).isTrue(); // used now: b is older
+    assertThat(server.has(a)).isTrue(); // marks a as used, so that b is the older one
     assertThat(Carry.statement(server, c, 2)).isEqualTo(new Carry.Bringing(List.of(b), true));
     assertThat(Carry.statement(server, a, 2).parse()).isFalse();
     assertThat(Prepared.of("SELECT 'a'", new byte[2])).isSameAs(a);
@@ -256,7 +256,10 @@
     assertThat(s.lastCommitPosition()).isEqualTo(100);
   }
 
-  /** Against plain copies of whole maps, over random programs of SET, savepoints and ends. */
+  /**
+   * Compares with a model that copies whole maps, over random sequences of SET, RESET, savepoints
+   * and transaction ends.
+   */
   @Property(seed = "20261201", tries = 500)
   void settingsMatchAModelOfCopiedMaps(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int steps) {
--- a/src/test/java/crankspar/pooling/StatementOptionsTest.java
+++ b/src/test/java/crankspar/pooling/StatementOptionsTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A statement means what it meant under its own client's options when it was prepared, whichever
- * connection it lands on: a timestamp without a zone is read under the time zone of that moment.
+ * Tests that a prepared statement keeps the meaning that it had under its client's options when it
+ * was prepared, on whichever connection it runs: a timestamp without a zone, for instance, is
+ * interpreted in the time zone set at that moment.
  */
 class StatementOptionsTest extends HardCasesFixture {
   private static final String UTC = "UTC";
@@ -38,7 +39,7 @@
     assertThat(client.ask("SET TIME ZONE '" + zone + "'")).startsWith("C:SET");
   }
 
-  /** Guards against an answer of another client's time zone for the same words. */
+  /** Guards against answers in another client's time zone when both prepare the same text. */
   @ParameterizedTest
   @ValueSource(strings = {"", "s"})
   void clientsWithDifferentOptionsDoNotShareAStatement(String name) throws Exception {
@@ -57,7 +58,10 @@
     }
   }
 
-  /** Guards against a client's own older statement in place of one that it prepares anew. */
+  /**
+   * Guards against reusing a client's earlier statement for the same text prepared under new
+   * options.
+   */
   @Test
   void sameTextPreparedAfterASetUsesTheNewOptions() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -70,7 +74,10 @@
     }
   }
 
-  /** Guards against a statement that is read under an option that its client set only later. */
+  /**
+   * Guards against preparing a statement on a new connection under options that its client set only
+   * after preparing it.
+   */
   @Test
   void aStatementPreparedBeforeASetIsTheSameOnAnotherConnection() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -90,7 +97,10 @@
     }
   }
 
-  /** Guards against an option that was rolled back, or held only locally, in a shared statement. */
+  /**
+   * Guards against a shared statement prepared under options that were rolled back or set by SET
+   * LOCAL.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"SET TIME ZONE", "SET LOCAL TIME ZONE"})
   void aStatementPreparedInABlockKeepsTheOptionsOfThatBlock(String set) throws Exception {
@@ -110,7 +120,9 @@
     }
   }
 
-  /** Guards against a Parse that is judged before the SET in front of it has been answered. */
+  /**
+   * Guards against handling a Parse without the effect of a preceding SET that is not answered yet.
+   */
   @Test
   void aSetAndAParseInOneBatch() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -132,7 +144,10 @@
     }
   }
 
-  /** Guards against the same fault by PREPARE, which is carried by its text. */
+  /**
+   * Guards against the same fault with SQL PREPARE, which is repeated by its text on other
+   * connections.
+   */
   @Test
   void aStatementOfSqlKeepsTheOptionsOfItsPrepare() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -149,7 +164,10 @@
     }
   }
 
-  /** Guards against an option that EXECUTE has set and that its client's next connection lacks. */
+  /**
+   * Guards against losing an option that an EXECUTE has set: it must be restored on the client's
+   * next connection.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void anOptionThatAnExecuteSetsIsItsClientsOwn(boolean extended) throws Exception {
@@ -176,7 +194,10 @@
     }
   }
 
-  /** Guards against a statement of a block's end that cannot be prepared once the block failed. */
+  /**
+   * Guards against a prepared ROLLBACK that cannot be prepared on a new connection because the
+   * block has failed.
+   */
   @Test
   void aPreparedRollbackEndsAFailedBlockUnderOtherOptions() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -190,7 +211,7 @@
     }
   }
 
-  /** What cannot change a statement's meaning costs no sharing. */
+  /** Options that do not affect parsing, such as the application name, do not prevent sharing. */
   @Test
   void clientsThatDifferInTheirNamesAloneShareAStatement() throws Exception {
     try (var stand = new Stand(0, places(1));
--- a/src/test/java/crankspar/pooling/SuspendedPortalTest.java
+++ b/src/test/java/crankspar/pooling/SuspendedPortalTest.java
@@ -7,7 +7,9 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** A client that fetches one row and leaves it at that, as drivers with a bound on rows do. */
+/**
+ * Tests clients that fetch one row and leave the portal suspended, as drivers with a row limit do.
+ */
 class SuspendedPortalTest extends HardCasesFixture {
   private static String firstRow(PgWire client, String sql) throws IOException {
     client.send(
@@ -18,7 +20,9 @@
     return PgWire.brief(client.untilReady());
   }
 
-  /** Guards against an option that stays on the connection, unknown, for its next client. */
+  /**
+   * Guards against an option that remains unrecorded on the connection and reaches its next client.
+   */
   @Test
   void anOptionThatASuspendedPortalHasSetIsItsClientsOwn() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -31,7 +35,7 @@
     }
   }
 
-  /** Guards against a session lock that another client's connection holds. */
+  /** Guards against giving a connection that holds a client's session lock to another client. */
   @Test
   void aSessionLockThatASuspendedPortalHasTakenKeepsItsConnection() throws Exception {
     try (var stand = new Stand(0, places(2));
@@ -44,7 +48,7 @@
     }
   }
 
-  /** Fetched on, the statement is done once. */
+  /** Guards against counting a statement once per Execute: further fetches do not run it again. */
   @Test
   void aLockThatIsFetchedToTheEndIsGivenBackByOneUnlock() throws Exception {
     try (var stand = new Stand(0, places(1));
