--- a/src/main/java/crankspar/pooling/Pins.java
+++ b/src/main/java/crankspar/pooling/Pins.java
@@ -15,7 +15,7 @@
  *     news}
  */
 public record Pins(PMap<String, Integer> held) {
-  /** Kinds of pins; their names appear in operator output and configuration. */
+  /** Kinds of pins, by the names that operators see and use in the setting that refuses them. */
   public enum Kind {
     /** LISTEN, until UNLISTEN of the channel or UNLISTEN *. */
     LISTEN,
--- a/src/main/java/crankspar/pooling/StatementNames.java
+++ b/src/main/java/crankspar/pooling/StatementNames.java
@@ -69,11 +69,12 @@
 
   /**
    * Handles a Parse under a name that the client already uses. The server has to raise the error,
-   * because within a transaction block the error fails the block. The existing statement is
-   * therefore prepared once more under its server name, which the server rejects as it would the
-   * client's. A failed block accepts only some texts: if the existing statement is missing on the
-   * server, it could not be prepared there, so the new text is parsed as the unnamed statement and
-   * the error is produced by {@link #failOnServer}.
+   * because within a transaction block the error fails the block; the new text is therefore parsed
+   * under the existing statement's server name, which the server rejects as it would on a dedicated
+   * connection. A failed block accepts only some texts. If the existing statement is missing on the
+   * server, a failed block might not accept it, so the new text is parsed as the unnamed statement,
+   * which fails if the block does not accept that text either, and the duplicate name is reported
+   * by {@link #failOnServer}.
    */
   void parseDuplicate(String name, Prepared existing, Prepared statement) {
     if (batch.status() == 'E' && !server.has(existing)) {
--- a/src/main/java/crankspar/pooling/TransactionalValue.java
+++ b/src/main/java/crankspar/pooling/TransactionalValue.java
@@ -86,7 +86,7 @@
   void release(String name) {
     if (hasSavepoint(name)) {
       while (!savepoints.pop().name().equals(name)) {
-        // removes later savepoints too
+        // later savepoints are removed too
       }
     }
   }
