--- a/src/main/java/crankspar/core/Attempt.java
+++ b/src/main/java/crankspar/core/Attempt.java
@@ -2,43 +2,46 @@
 
 import crankspar.Router.Freshness;
 
-/** One sending of a request to one member, from the module's word to its end. */
+/** One attempt of a request at one member, from the module's decision to its end. */
 final class Attempt<Q, A> implements Ports.AttemptListener<A> {
   private final Attempts<Q, A> attempts;
-  final String request;
-  final PendingRequest<Q, A> owed;
+  final String requestId;
+  final PendingRequest<Q, A> pending;
   final int number;
   final String member;
-  final double sent;
+  final double startedAt;
 
-  /** When the decision to send began (ms). */
-  final double decided;
+  /** When the module began the decision to send (ms). */
+  final double decidedAt;
 
   Ports.Call call;
-  boolean ended, written, told;
+  boolean ended, written, reported;
 
   Attempt(
       Attempts<Q, A> attempts,
       String request,
-      PendingRequest<Q, A> owed,
+      PendingRequest<Q, A> pending,
       String member,
       double now,
-      double decided) {
+      double decidedAt) {
     this.attempts = attempts;
-    this.request = request;
-    this.owed = owed;
+    this.requestId = request;
+    this.pending = pending;
     this.member = member;
-    sent = now;
-    this.decided = decided;
-    number = owed.sent++;
+    startedAt = now;
+    this.decidedAt = decidedAt;
+    number = pending.attemptsStarted++;
   }
 
   @Override
   public boolean stillWanted() {
-    return attempts.wanted(this);
+    return attempts.stillWanted(this);
   }
 
-  /** Told by the wire or, where an answer overtakes that, known from how it ended. */
+  /**
+   * Called when the connection reports the write, or when an answer arrives before that report and
+   * implies it.
+   */
   @Override
   public void written() {
     if (!written) {
@@ -49,27 +52,29 @@
 
   @Override
   public boolean answerBegan(A answer) {
-    return began(answer, owed.freshness() == Freshness.WRITE ? null : AttemptEnd.MemberState.NONE);
+    return began(
+        answer, pending.freshness() == Freshness.WRITE ? null : AttemptEnd.MemberState.NONE);
   }
 
   @Override
-  public boolean answeredInTransaction(A answer, AttemptEnd.MemberState note) {
-    return began(answer, attempts.plausible(note));
+  public boolean answeredInTransaction(A answer, AttemptEnd.MemberState state) {
+    return began(answer, attempts.validate(state));
   }
 
   /**
-   * From its first bytes on an answer belongs to its client: no time-out, no other attempt, no
-   * other answer. A read's member has done its work by then, and slow readers must not make it look
-   * silent; a write's outcome waits for the note behind its answer.
+   * Binds the answer to its client from its first bytes on: no timeout, other attempt or other
+   * answer applies any more. For a read, the member has done its work by then, and a slowly reading
+   * client must not make it look silent. A write's outcome is reported only with the member state
+   * that follows its answer.
    */
   private boolean began(A answer, AttemptEnd.MemberState tell) {
-    if (ended || owed.over || owed.begun != null) {
+    if (ended || pending.concluded || pending.answering != null) {
       return false;
     }
     written();
-    owed.begun = this;
-    owed.reply.answerBegan(answer);
-    attempts.begun(this, tell);
+    pending.answering = this;
+    pending.reply.answerBegan(answer);
+    attempts.answerBegan(this, tell);
     return true;
   }
 
--- a/src/main/java/crankspar/core/AttemptEnd.java
+++ b/src/main/java/crankspar/core/AttemptEnd.java
@@ -4,29 +4,32 @@
 import crankspar.Router.Status;
 
 /**
- * How an attempt ended, as a value: each kind is one row of the protocol's table of outcomes.
+ * How an attempt ended; each kind corresponds to one row of the protocol's table of outcomes.
  *
- * @param <A> a front's own kind of answer, which the core hands on unread
+ * @param <A> a front's own kind of answer, which the core passes on unread
  */
 public sealed interface AttemptEnd<A> {
-  /** What the answer told of its member; NaN where it told no position (Unix ms). */
+  /**
+   * The role and replication position (Unix ms; NaN if unknown) that an answer reported for its
+   * member.
+   */
   record MemberState(Role role, double position) {
     public static final MemberState NONE = new MemberState(Role.UNKNOWN, Double.NaN);
   }
 
-  /** What the module hears of it. */
+  /** The status that is reported to the module. */
   Status status();
 
   default MemberState memberState() {
     return MemberState.NONE;
   }
 
-  /** Whether its last byte has been handed to the system. */
+  /** Whether the request's last byte has been handed to the operating system. */
   default boolean written() {
     return true;
   }
 
-  /** Whether it may have run without a whole answer that says so. */
+  /** Whether the request may have run without a complete answer that confirms it. */
   default boolean uncertain() {
     return false;
   }
@@ -38,7 +41,7 @@
     }
   }
 
-  /** Turned away for its role or for how far it lags; nothing ran. */
+  /** Rejected by the member because of its role or its replication lag; nothing ran. */
   record Missed<A>(MemberState memberState) implements AttemptEnd<A> {
     @Override
     public Status status() {
@@ -46,7 +49,7 @@
     }
   }
 
-  /** Turned away unseen. */
+  /** Rejected by the member without being processed, because it is at capacity. */
   record TurnedAway<A>(MemberState memberState) implements AttemptEnd<A> {
     @Override
     public Status status() {
@@ -54,7 +57,7 @@
     }
   }
 
-  /** Answered with an error; it may have run. */
+  /** Answered with an error; the request may have run. */
   record Erred<A>(MemberState memberState, String why) implements AttemptEnd<A> {
     @Override
     public Status status() {
@@ -67,7 +70,10 @@
     }
   }
 
-  /** Never written, and its member is not to blame: the time was up before a connection was. */
+  /**
+   * Never written, through no fault of the member: the time ran out before a connection was
+   * established.
+   */
   record Unsent<A>(String why) implements AttemptEnd<A> {
     @Override
     public Status status() {
@@ -80,7 +86,7 @@
     }
   }
 
-  /** The connection failed or ended first. */
+  /** The connection failed or closed before an answer. */
   record Broken<A>(AttemptProgress progress, String why) implements AttemptEnd<A> {
     @Override
     public Status status() {
--- a/src/main/java/crankspar/core/AttemptProgress.java
+++ b/src/main/java/crankspar/core/AttemptProgress.java
@@ -1,7 +1,7 @@
 package crankspar.core;
 
 /**
- * How far an attempt had come when it ended: the one thing that decides whether it may have run.
+ * How far an attempt had come when it ended. This alone decides whether the request may have run.
  */
 public enum AttemptProgress {
   NOT_CONNECTED,
@@ -9,7 +9,10 @@
   WHOLLY_WRITTEN,
   ANSWERED;
 
-  /** A server begins a request with its last byte, so that less than all of it has no effect. */
+  /**
+   * Whether the request may have run. A server starts a request only when its last byte has
+   * arrived, so that a partly written request has no effect.
+   */
   public boolean mayHaveRun() {
     return this == WHOLLY_WRITTEN || this == ANSWERED;
   }
--- a/src/main/java/crankspar/core/Attempts.java
+++ b/src/main/java/crankspar/core/Attempts.java
@@ -9,25 +9,25 @@
 import java.util.Locale;
 
 /**
- * The attempts of one core's requests: begins each where the module wants it, checks it once more
- * right before it is written, and tells the module its one outcome. A request's own state and its
- * final answer are {@link Pooler}'s.
+ * Runs the attempts of one core's requests: starts each at the member that the module chose, checks
+ * it once more right before it is written, and reports its single outcome to the module. The state
+ * of a request and its final answer belong to {@link Pooler}.
  */
 final class Attempts<Q, A> {
   private final Pooler<Q, A> core;
   private final Ports.Time time;
   private final Ports.Backends<Q, A> backends;
   private final Counters counters;
-  private final RequestStats figures;
-  private final Notes notes;
+  private final RequestStats stats;
+  private final MemberStateValidator validator;
   private final DatabaseClock databaseClock;
-  private final int mostTries;
+  private final int maxAttempts;
 
-  /** Attempts of one request that may be out at once. */
-  private final int mostOut;
+  /** Maximum number of attempts of one request in flight at once. */
+  private final int maxInFlight;
 
   private Ports.Audit audit;
-  private Ports.SharedSessionMarks sessions;
+  private Ports.SharedSessionMarks sessionMarks;
 
   Attempts(
       Pooler<Q, A> core,
@@ -35,36 +35,39 @@
       Ports.Time time,
       Ports.Backends<Q, A> backends,
       Counters counters,
-      RequestStats figures,
-      Notes notes,
+      RequestStats stats,
+      MemberStateValidator validator,
       DatabaseClock databaseClock) {
     this.core = core;
     this.databaseClock = databaseClock;
     this.time = time;
     this.backends = backends;
     this.counters = counters;
-    this.figures = figures;
-    this.notes = notes;
-    mostTries = limits.mostTries();
-    mostOut = limits.secondCopies() ? 2 : 1;
+    this.stats = stats;
+    this.validator = validator;
+    maxAttempts = limits.mostTries();
+    maxInFlight = limits.secondCopies() ? 2 : 1;
   }
 
-  void audit(Ports.Audit audit) {
+  void setAudit(Ports.Audit audit) {
     this.audit = audit;
   }
 
-  void sessions(Ports.SharedSessionMarks sessions) {
-    this.sessions = sessions;
+  void setSharedSessionMarks(Ports.SharedSessionMarks sessions) {
+    this.sessionMarks = sessions;
   }
 
-  // ---- Beginning.
-  /** One that may not begin any more is told as moot. {@code decided} is when the module ran. */
+  // ---- Start of an attempt.
+  /**
+   * Starts an attempt, or reports it as {@code MOOT} if it may not be started any more. {@code
+   * decidedAt} is when the module made the decision.
+   */
   void send(
-      String id, PendingRequest<Q, A> request, String member, double timeout, double decided) {
-    var attempt = new Attempt<>(this, id, request, member, time.now(), decided);
+      String id, PendingRequest<Q, A> request, String member, double timeout, double decidedAt) {
+    var attempt = new Attempt<>(this, id, request, member, time.now(), decidedAt);
     double deadline =
-        Math.min(timeout > 0 ? attempt.sent + timeout : Double.MAX_VALUE, request.deadline);
-    if (!mayBegin(attempt, deadline)) {
+        Math.min(timeout > 0 ? attempt.startedAt + timeout : Double.MAX_VALUE, request.deadline);
+    if (!maySend(attempt, deadline)) {
       end(attempt, Status.MOOT, AttemptEnd.MemberState.NONE);
       return;
     }
@@ -72,57 +75,65 @@
     if (attempt.number > 0) {
       core.log("retried", request, () -> "attempt " + (attempt.number + 1) + " at " + member);
     }
-    request.began(attempt);
+    request.attemptStarted(attempt);
     counters.add("sent");
-    attempt.call = backends.send(member, request.ask.query(), deadline, connectBy, attempt);
+    attempt.call = backends.send(member, request.request.query(), deadline, connectBy, attempt);
     if (!attempt.ended) {
-      time.after(deadline - time.now(), () -> timeOut(attempt));
+      time.after(deadline - time.now(), () -> onTimeout(attempt));
     }
   }
 
-  private boolean mayBegin(Attempt<Q, A> attempt, double deadline) {
-    PendingRequest<Q, A> request = attempt.owed;
-    return request.open(time.now())
+  private boolean maySend(Attempt<Q, A> attempt, double deadline) {
+    PendingRequest<Q, A> request = attempt.pending;
+    return request.maySend(time.now())
         && deadline > time.now()
-        && request.out.size() < mostOut
-        && attempt.number < mostTries;
+        && request.inFlight.size() < maxInFlight
+        && attempt.number < maxAttempts;
   }
 
-  /** The last check, right before an attempt is written: its client is there, and time is left. */
-  boolean wanted(Attempt<Q, A> attempt) {
-    PendingRequest<Q, A> request = attempt.owed;
-    if (!attempt.ended && !request.over && !request.reply.clientConnected()) {
+  /**
+   * The last check right before an attempt is written: its client is connected, and time is left.
+   */
+  boolean stillWanted(Attempt<Q, A> attempt) {
+    PendingRequest<Q, A> request = attempt.pending;
+    if (!attempt.ended && !request.concluded && !request.reply.clientConnected()) {
       if (request.reply.keepsAnswer()) {
-        core.clientLeftKeepingAnswer(attempt.request);
+        core.clientLeftKeepingAnswer(attempt.requestId);
       } else {
-        core.clientLeft(attempt.request);
+        core.clientLeft(attempt.requestId);
       }
     }
-    return !attempt.ended && request.open(time.now()) && !request.aged(attempt.decided, time.now());
+    return !attempt.ended
+        && request.maySend(time.now())
+        && !request.mayBeStale(attempt.decidedAt, time.now());
   }
 
-  /** Its last byte has left. */
+  /** The last byte of the attempt has been written. */
   void written(Attempt<Q, A> attempt) {
-    figures.written();
+    stats.written();
     if (audit != null) {
-      audit.sent(attempt.owed.name, attempt.member, attempt.owed.ask.requestClass(), time.now());
+      audit.sent(
+          attempt.pending.name, attempt.member, attempt.pending.request.requestClass(), time.now());
     }
   }
 
-  /** Its answer has begun; {@code tell} is what the module hears now, null for its end only. */
-  void begun(Attempt<Q, A> attempt, AttemptEnd.MemberState tell) {
+  /**
+   * The attempt's answer has begun. {@code state} is reported to the module now; if null, the
+   * module receives the outcome only at the end.
+   */
+  void answerBegan(Attempt<Q, A> attempt, AttemptEnd.MemberState state) {
     counters.add("begun");
-    if (tell != null) {
-      attempt.told = true;
-      core.event(module -> module.onOutcome(time.now(), outcome(attempt, Status.OK, true, tell)));
+    if (state != null) {
+      attempt.reported = true;
+      core.post(module -> module.onOutcome(time.now(), outcome(attempt, Status.OK, true, state)));
     }
   }
 
-  AttemptEnd.MemberState plausible(AttemptEnd.MemberState note) {
-    return notes.plausible(note);
+  AttemptEnd.MemberState validate(AttemptEnd.MemberState note) {
+    return validator.validate(note);
   }
 
-  // ---- Ending.
+  // ---- End of an attempt.
   void ended(Attempt<Q, A> attempt, AttemptEnd<A> end) {
     if (attempt.ended) {
       return;
@@ -130,96 +141,97 @@
     if (end.written()) {
       attempt.written();
     }
-    PendingRequest<Q, A> request = attempt.owed;
-    if (request.begun == attempt && !request.over && !(end instanceof AttemptEnd.Served)) {
+    PendingRequest<Q, A> request = attempt.pending;
+    if (request.answering == attempt && !request.concluded && !(end instanceof AttemptEnd.Served)) {
       counters.add("begun_broken");
-      core.answer(attempt.request, request, new FinalAnswer.Failed<>(true, "the answer broke off"));
+      core.answer(
+          attempt.requestId, request, new FinalAnswer.Failed<>(true, "the answer broke off"));
     }
-    AttemptEnd.MemberState note = notes.plausible(end.memberState());
+    AttemptEnd.MemberState state = validator.validate(end.memberState());
     if (end instanceof AttemptEnd.Served<A> served) {
-      served(attempt, served, note);
+      served(attempt, served, state);
     } else {
       core.log(
           "attempt " + (attempt.number + 1) + " ended", request, () -> attempt.member + " " + end);
     }
     request.mayHaveRun |= end.uncertain();
-    end(attempt, end.status(), note);
+    end(attempt, end.status(), state);
   }
 
   private void served(
-      Attempt<Q, A> attempt, AttemptEnd.Served<A> served, AttemptEnd.MemberState note) {
-    PendingRequest<Q, A> request = attempt.owed;
-    if (sessions != null && request.freshness() == Freshness.WRITE) {
-      sessions.writeCommitted(request.ask.session(), note.position());
+      Attempt<Q, A> attempt, AttemptEnd.Served<A> served, AttemptEnd.MemberState state) {
+    PendingRequest<Q, A> request = attempt.pending;
+    if (sessionMarks != null && request.freshness() == Freshness.WRITE) {
+      sessionMarks.writeCommitted(request.request.session(), state.position());
     }
-    if (!request.over && (request.begun == null || request.begun == attempt)) {
-      core.answer(attempt.request, request, new FinalAnswer.Served<>(served.answer(), note));
+    if (!request.concluded && (request.answering == null || request.answering == attempt)) {
+      core.answer(attempt.requestId, request, new FinalAnswer.Served<>(served.answer(), state));
     }
   }
 
-  private void timeOut(Attempt<Q, A> attempt) {
-    if (attempt.ended || attempt.owed.begun == attempt) {
+  private void onTimeout(Attempt<Q, A> attempt) {
+    if (attempt.ended || attempt.pending.answering == attempt) {
       return;
     }
     boolean mayHaveRun = abandon(attempt);
     end(attempt, mayHaveRun ? Status.TIMEOUT : Status.MOOT, AttemptEnd.MemberState.NONE);
   }
 
-  /** Gives it up by ending its connection; whether it may have run. */
+  /** Abandons the attempt by closing its connection; returns whether it may have run. */
   private boolean abandon(Attempt<Q, A> attempt) {
     if (attempt.call == null || !attempt.call.abandon().mayHaveRun()) {
       return false;
     }
-    attempt.owed.mayHaveRun = true;
+    attempt.pending.mayHaveRun = true;
     attempt.written();
     return true;
   }
 
   void cancel(PendingRequest<Q, A> request, int number) {
-    request.out.stream()
-        .filter(a -> a.number == number && request.begun != a)
+    request.inFlight.stream()
+        .filter(a -> a.number == number && request.answering != a)
         .findFirst()
-        .ifPresent(this::callOff);
+        .ifPresent(this::abort);
   }
 
-  /** All that are out. */
-  void callOff(PendingRequest<Q, A> request) {
-    List.copyOf(request.out).forEach(this::callOff);
+  /** Ends all attempts of the request that are in flight. */
+  void abort(PendingRequest<Q, A> request) {
+    List.copyOf(request.inFlight).forEach(this::abort);
   }
 
-  void callOff(Attempt<Q, A> attempt) {
+  void abort(Attempt<Q, A> attempt) {
     abandon(attempt);
     end(attempt, Status.CANCELLED, AttemptEnd.MemberState.NONE);
   }
 
-  private void end(Attempt<Q, A> attempt, Status status, AttemptEnd.MemberState note) {
+  private void end(Attempt<Q, A> attempt, Status status, AttemptEnd.MemberState state) {
     attempt.ended = true;
-    PendingRequest<Q, A> request = attempt.owed;
-    if (audit != null && note.role() != Role.UNKNOWN) {
-      audit.role(attempt.member, note.role(), note.position());
+    PendingRequest<Q, A> request = attempt.pending;
+    if (audit != null && state.role() != Role.UNKNOWN) {
+      audit.role(attempt.member, state.role(), state.position());
     }
-    request.ended(attempt, status.neverRan);
+    request.attemptEnded(attempt, status.neverRan);
     counters.add("sent_" + status.name().toLowerCase(Locale.ROOT));
-    core.event(
+    core.post(
         module -> {
-          if (!attempt.told) {
-            module.onOutcome(time.now(), outcome(attempt, status, request.over, note));
+          if (!attempt.reported) {
+            module.onOutcome(time.now(), outcome(attempt, status, request.concluded, state));
           }
-          core.forgetIfOver(attempt.request, request);
+          core.removeIfFinished(attempt.requestId, request);
         });
-    core.endIfLeft(attempt.request, request);
+    core.cancelIfClientLeft(attempt.requestId, request);
   }
 
   private Outcome outcome(
-      Attempt<Q, A> attempt, Status status, boolean over, AttemptEnd.MemberState note) {
+      Attempt<Q, A> attempt, Status status, boolean over, AttemptEnd.MemberState state) {
     return new Outcome(
-        attempt.request,
+        attempt.requestId,
         attempt.number,
         attempt.member,
         status,
-        time.now() - attempt.sent,
+        time.now() - attempt.startedAt,
         over,
-        note.role(),
-        databaseClock.ours(note.position()));
+        state.role(),
+        databaseClock.toLocal(state.position()));
   }
 }
--- a/src/main/java/crankspar/core/CancelRouter.java
+++ b/src/main/java/crankspar/core/CancelRouter.java
@@ -3,18 +3,21 @@
 import java.util.logging.Logger;
 
 /**
- * Brings each cancel of a front to its client's session, which may be at another process of this
- * pooler: during an upgrade both listen, or only the one that knows no key of the other's. Cancels
- * of others are looked for every {@link #PERIOD_MS}, and by {@link #deliverShared} before a write.
- * On the loop only.
+ * Routes each cancel request of a front to its session, which may be at another process of this
+ * pooler: during an upgrade both processes listen, or only the one that does not know the other's
+ * keys. Cancels from other processes are polled every {@link #POLL_PERIOD_MS} ms, and by {@link
+ * #deliverShared} before a write. Confined to the event loop.
  */
 public final class CancelRouter {
   private static final Logger LOG = Logger.getLogger(CancelRouter.class.getName());
-  private static final double PERIOD_MS = 20;
+  private static final double POLL_PERIOD_MS = 20;
 
   /** The sessions of this process. */
   public interface Sessions {
-    /** Cancels what the key names; false where it names nobody, or the secret is another. */
+    /**
+     * Cancels the session that the key identifies; returns false if there is none, or if the secret
+     * differs.
+     */
     boolean cancel(int process, int secret);
   }
 
@@ -23,13 +26,19 @@
   private final String counter;
   private final Sessions sessions;
 
-  /** Null where no other process hears of them. */
+  /** Null if cancels are not shared with another process. */
   private Ports.SharedCancels shared;
 
-  /** When some were last found lost (ms); what came before then may have been canceled. */
+  /**
+   * When a loss of shared cancels was last detected (ms); a request that arrived before then may
+   * have been cancelled.
+   */
   private double lostAt = Double.NEGATIVE_INFINITY;
 
-  /** Counts under {@code counter}, with {@code _unknown} or {@code _from_another_process}. */
+  /**
+   * Counts under {@code counter} with the suffixes {@code _unknown}, {@code _lost} and {@code
+   * _from_another_process}.
+   */
   public CancelRouter(Ports.Time time, Counters counters, String counter, Sessions sessions) {
     this.time = time;
     this.counters = counters;
@@ -37,18 +46,18 @@
     this.sessions = sessions;
   }
 
-  /** From now on they are shared with the process that this one replaces, or that replaces it. */
-  public void share(Ports.SharedCancels with) {
-    shared = with;
-    takePeriodically();
+  /** Shares cancels with the process that this one replaces, or that replaces it. */
+  public void share(Ports.SharedCancels cancels) {
+    shared = cancels;
+    pollShared();
   }
 
-  private void takePeriodically() {
+  private void pollShared() {
     deliverShared();
-    time.after(PERIOD_MS, this::takePeriodically);
+    time.after(POLL_PERIOD_MS, this::pollShared);
   }
 
-  /** A cancel has reached this process. */
+  /** Handles a cancel request that arrived at this process. */
   public void cancel(int process, int secret) {
     if (sessions.cancel(process, secret)) {
       return;
@@ -59,24 +68,25 @@
     }
   }
 
-  /** Takes in the cancels that have reached other processes by now. */
+  /** Delivers the cancels that have arrived at other processes so far. */
   public void deliverShared() {
     if (shared == null) {
       return;
     }
-    if (!shared.takeNew(key -> cancelShared((int) (key >> Integer.SIZE), (int) key))) {
+    if (!shared.takeNew(key -> deliver((int) (key >> Integer.SIZE), (int) key))) {
       lostAt = time.now();
       counters.add(counter + "_lost");
-      LOG.warning("more cancels reached another process than could be read: some are lost");
+      LOG.warning(
+          "shared cancels were overwritten before they could be read: some cancels are lost");
     }
   }
 
-  /** Whether a cancel may be lost that was meant for what came at this time (ms). */
-  public boolean mayHaveLost(double came) {
-    return came <= lostAt;
+  /** Whether a cancel may have been lost for a request that arrived at this time (ms). */
+  public boolean mayHaveLost(double receivedAt) {
+    return receivedAt <= lostAt;
   }
 
-  private void cancelShared(int process, int secret) {
+  private void deliver(int process, int secret) {
     if (sessions.cancel(process, secret)) {
       counters.add(counter + "_from_another_process");
     }
--- a/src/main/java/crankspar/core/Counters.java
+++ b/src/main/java/crankspar/core/Counters.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts by name, read on request and at exit. All of them live on the loop's thread. */
+/** Counters by name, read on demand and at exit. Confined to the event loop thread. */
 public final class Counters {
   private final Map<String, long[]> counts = new TreeMap<>();
 
@@ -20,7 +20,7 @@
     return at == null ? 0 : at[0];
   }
 
-  /** A copy, in the order of names. */
+  /** Returns a copy, sorted by name. */
   public Map<String, Long> all() {
     var copy = new TreeMap<String, Long>();
     counts.forEach((k, v) -> copy.put(k, v[0]));
--- a/src/main/java/crankspar/core/DatabaseClock.java
+++ b/src/main/java/crankspar/core/DatabaseClock.java
@@ -3,99 +3,105 @@
 import crankspar.Router.Role;
 
 /**
- * How far the databases' clock is ahead of ours, which took its Unix time once, at the start, from
- * a wall clock that may have been behind. Databases tell positions by their clock; the module is
- * told times by ours.
+ * Estimates how far the databases' clock is ahead of this process's clock, which read its Unix time
+ * once, at the start, from a wall clock that may have been behind. Databases report positions by
+ * their own clock; the module receives times by the local clock.
  *
- * <p>A position that lies ahead of our clock is noise, or our clock is behind. It is taken for the
- * latter where primaries, and only they are never behind, all say so from the start and by the same
- * amount. From then on all positions are counted by their clock. Before the first primary has told
- * its time no replica is believed: one that lags by as much as our clock does would look fresh. It
- * knows no I/O; times are ms.
+ * <p>A position ahead of the local clock is either noise or a sign that the local clock is behind.
+ * The latter is assumed if primaries, which unlike replicas never lag, all report it from the start
+ * and by the same amount. From then on all positions are converted from the databases' clock.
+ * Before the first primary has reported its time no replica's position is trusted: a replica that
+ * lags by as much as the local clock is behind would look fresh. This class does no I/O; times are
+ * in ms.
  */
 final class DatabaseClock {
-  /** How far (ms) two clocks and their roundings may differ. */
-  static final double AHEAD_MOST = 100;
+  /** Maximum difference (ms) between two clocks, including rounding. */
+  static final double MAX_SKEW_MS = 100;
 
-  /** So many notes of primaries in a row have to agree, either way. */
-  static final int AGREEING = 8;
+  /** Number of consecutive reports from primaries that must agree, either way. */
+  static final int REQUIRED_IN_A_ROW = 8;
 
-  /** How far (ms) they may differ: by the way from their database, and by stops of this process. */
-  static final double SPREAD_MOST = 200;
+  /**
+   * Maximum spread (ms) between those reports, caused by network latency from the databases and by
+   * stalls of this process.
+   */
+  static final double MAX_SPREAD_MS = 200;
 
   /**
-   * The way from a database (ms) at the most: what is not known of it makes data look older, never
+   * Maximum latency (ms) from a database. The unknown part of it makes data look older, never
    * fresher.
    */
-  static final double WAY_MOST = 50;
+  static final double MAX_LATENCY_MS = 50;
 
-  /** What a position says of the clocks. */
+  /** What a reported position implies about the clocks. */
   enum Verdict {
     PLAUSIBLE,
-    /** A primary's time lies ahead of ours: a replica's data may be older than it looks. */
+    /**
+     * A primary's time lies ahead of the local clock: a replica's data may be older than it looks.
+     */
     UNPROVEN,
     IMPLAUSIBLE,
-    /** Plausible, and from now on the databases' clock counts as ahead of ours. */
+    /** Plausible, and from now on the databases' clock counts as ahead of the local clock. */
     FOUND_AHEAD
   }
 
-  private double ahead;
+  private double aheadMs;
   private boolean settled;
-  private int agreeing;
-  private int plausible;
-  private double least;
-  private double most;
+  private int aheadInARow;
+  private int plausibleInARow;
+  private double minLead;
+  private double maxLead;
 
-  Verdict hears(double now, Role role, double position) {
-    double lead = position - now - ahead;
-    if (position > 0 && lead < AHEAD_MOST) {
-      notePlausible(role);
-      return agreeing == 0 ? Verdict.PLAUSIBLE : Verdict.UNPROVEN;
+  Verdict observe(double now, Role role, double position) {
+    double lead = position - now - aheadMs;
+    if (position > 0 && lead < MAX_SKEW_MS) {
+      onPlausible(role);
+      return aheadInARow == 0 ? Verdict.PLAUSIBLE : Verdict.UNPROVEN;
     }
     boolean open = !settled && role == Role.PRIMARY && position > 0;
-    return open ? noteAhead(lead) : Verdict.IMPLAUSIBLE;
+    return open ? onAhead(lead) : Verdict.IMPLAUSIBLE;
   }
 
-  private void notePlausible(Role role) {
+  private void onPlausible(Role role) {
     if (role == Role.PRIMARY) {
-      agreeing = 0;
-      plausible++;
-      settled |= plausible >= AGREEING;
+      aheadInARow = 0;
+      plausibleInARow++;
+      settled |= plausibleInARow >= REQUIRED_IN_A_ROW;
     }
   }
 
-  private Verdict noteAhead(double lead) {
-    plausible = 0;
-    least = agreeing == 0 ? lead : Math.min(least, lead);
-    most = agreeing == 0 ? lead : Math.max(most, lead);
-    agreeing++;
-    if (most - least > SPREAD_MOST) {
-      agreeing = 1;
-      least = lead;
-      most = lead;
+  private Verdict onAhead(double lead) {
+    plausibleInARow = 0;
+    minLead = aheadInARow == 0 ? lead : Math.min(minLead, lead);
+    maxLead = aheadInARow == 0 ? lead : Math.max(maxLead, lead);
+    aheadInARow++;
+    if (maxLead - minLead > MAX_SPREAD_MS) {
+      aheadInARow = 1;
+      minLead = lead;
+      maxLead = lead;
     }
-    if (agreeing < AGREEING) {
+    if (aheadInARow < REQUIRED_IN_A_ROW) {
       return Verdict.IMPLAUSIBLE;
     }
-    ahead = most + WAY_MOST;
+    aheadMs = maxLead + MAX_LATENCY_MS;
     settled = true;
-    agreeing = 0;
+    aheadInARow = 0;
     return Verdict.FOUND_AHEAD;
   }
 
-  /** Our clock's time for a position (NaN stays so). */
-  double ours(double position) {
-    return position - ahead;
+  /** Converts a position to the local clock (NaN stays NaN). */
+  double toLocal(double position) {
+    return position - aheadMs;
   }
 
-  /** How old a mark is (ms), as the module is told it: -1 for none, else above nought. */
+  /** The age of a mark (ms) as passed to the module: -1 for none, otherwise greater than 0. */
   double age(double mark, double now) {
-    // A mark told in the same millisecond may lie ahead of this clock: it is a mark all the same.
-    return Double.isNaN(mark) ? -1 : Math.max(0.001, now - ours(mark));
+    // A mark from the same millisecond may lie ahead of this clock; it still counts as a mark.
+    return Double.isNaN(mark) ? -1 : Math.max(0.001, now - toLocal(mark));
   }
 
-  /** By how much (ms). */
-  double ahead() {
-    return ahead;
+  /** How far the databases' clock is ahead of the local clock (ms). */
+  double aheadMs() {
+    return aheadMs;
   }
 }
--- a/src/main/java/crankspar/core/FinalAnswer.java
+++ b/src/main/java/crankspar/core/FinalAnswer.java
@@ -1,14 +1,18 @@
 package crankspar.core;
 
-/** The one final answer to a request, for a front to put into its own words. */
+/** The one final answer to a request, which a front translates into its protocol. */
 public sealed interface FinalAnswer<A> {
   record Served<A>(A answer, AttemptEnd.MemberState memberState) implements FinalAnswer<A> {}
 
-  /** Trying again is harmless, best after {@code retryIn} ms (0: no advice). */
+  /**
+   * The request did not run and may be retried safely, preferably after {@code retryIn} ms (0: no
+   * advice).
+   */
   record Refused<A>(double retryIn) implements FinalAnswer<A> {}
 
   /**
-   * No assurance is given; {@code mayHaveRun} where an attempt was sent whole and left no proof.
+   * The request failed; {@code mayHaveRun} is true if an attempt was sent completely and there is
+   * no proof that it had no effect.
    */
   record Failed<A>(boolean mayHaveRun, String why) implements FinalAnswer<A> {}
 }
--- a/src/main/java/crankspar/core/Front.java
+++ b/src/main/java/crankspar/core/Front.java
@@ -1,22 +1,25 @@
 package crankspar.core;
 
-/** What a daemon asks of each of its fronts, whatever they speak. Called on the loop. */
+/**
+ * Lifecycle operations that the daemon calls on each front, whatever its protocol. Called on the
+ * event loop.
+ */
 public interface Front {
-  /** A stop has begun: idle connections are worth more, as no new ones are sent here. */
+  /** A shutdown has begun. Idle connections become more valuable, as no new ones arrive here. */
   void stopping();
 
   /**
-   * Whether who asks for its health is told to go elsewhere, where the front's protocol has such a
-   * question.
+   * Sets whether health checks are answered as unavailable, if the front's protocol has health
+   * checks, so that clients go elsewhere.
    */
   default void reportUnavailable(boolean on) {}
 
-  /** Takes no new connections, and closes each that it has between two requests. */
+  /** Accepts no new connections, and closes each open one between two requests. */
   void drain();
 
-  /** The end of a drain. */
+  /** Ends a drain. */
   void resume();
 
-  /** Whether no client's connection is open any more: all that was written has left. */
+  /** Whether all client connections are closed and everything written has been sent. */
   boolean closed();
 }
--- a/src/main/java/crankspar/core/PendingRequest.java
+++ b/src/main/java/crankspar/core/PendingRequest.java
@@ -6,103 +6,107 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that is owed its one final answer. */
+/** A request that waits for its final answer, or has attempts in flight. */
 final class PendingRequest<Q, A> {
   /**
-   * A bounded read's data ages while its connection comes up, but the module judged it at once:
-   * sent later than this (ms), it could be answered from data past its bound.
+   * Maximum time (ms) between the routing decision and the write of a bounded-staleness read. The
+   * module checks the replica's position at the decision; the data ages while a connection is
+   * opened, and a read sent later than this could be answered from data past its bound.
    */
-  private static final double AGEING_MOST = 40;
+  private static final double MAX_AGEING_MS = 40;
 
-  final Ports.ClientRequest<Q> ask;
-  final RequestClass kind;
+  final Ports.ClientRequest<Q> request;
+  final RequestClass requestClass;
   final Ports.Reply<A> reply;
-  final double taken;
+  final double acceptedAt;
   final double deadline;
   final String name;
-  int sent;
-  boolean mayHaveRun, over;
+  int attemptsStarted;
+  boolean mayHaveRun, concluded;
 
-  /** Its client has left, and its answer is kept for a repeat: nothing further begins. */
-  boolean left;
+  /** The client has left, and the answer is kept for a repeat: no further attempts are started. */
+  boolean clientLeft;
 
   /**
-   * When the earliest attempt was asked for that is out or may have run (ms); a keyed repeat's
-   * window runs from then.
+   * When the module requested the earliest attempt that is in flight or may have run (ms), or
+   * infinity. The window in which a keyed write may be repeated starts then.
    */
-  double risk = Double.POSITIVE_INFINITY;
+  double keyWindowStart = Double.POSITIVE_INFINITY;
 
-  /** Attempts that are out: one, or two where the settings allow second copies. */
-  final List<Attempt<Q, A>> out = new ArrayList<>(1);
+  /** Attempts in flight: one, or two if the settings allow hedged requests. */
+  final List<Attempt<Q, A>> inFlight = new ArrayList<>(1);
 
-  /** Whose answer has begun: no other's counts from then on. */
-  Attempt<Q, A> begun;
+  /** The attempt whose answer has begun; answers of other attempts are ignored from then on. */
+  Attempt<Q, A> answering;
 
   PendingRequest(
-      Ports.ClientRequest<Q> ask,
-      RequestClass kind,
+      Ports.ClientRequest<Q> request,
+      RequestClass requestClass,
       Ports.Reply<A> reply,
       double now,
       String name) {
     this.name = name;
-    this.ask = ask;
-    this.kind = kind;
+    this.request = request;
+    this.requestClass = requestClass;
     this.reply = reply;
-    taken = now;
-    deadline = ask.deadline();
+    acceptedAt = now;
+    deadline = request.deadline();
   }
 
   Freshness freshness() {
-    return kind.freshness();
+    return requestClass.freshness();
   }
 
-  /** What it is answered with where nothing more is tried. */
+  /** The answer if nothing more is tried. */
   FinalAnswer.Failed<A> failed(String why) {
-    return new FinalAnswer.Failed<>(mayHaveRun || !out.isEmpty(), why);
+    return new FinalAnswer.Failed<>(mayHaveRun || !inFlight.isEmpty(), why);
   }
 
-  /** Its state in words, for the log. */
-  String told(double now) {
+  /** The request's state for the log. */
+  String describe(double now) {
     return ", class "
-        + kind.name()
+        + requestClass.name()
         + ", "
-        + Math.round(now - taken)
-        + " ms since it was taken, "
+        + Math.round(now - acceptedAt)
+        + " ms since it was accepted, "
         + Math.round(deadline - now)
         + " ms left, "
-        + sent
+        + attemptsStarted
         + " attempts";
   }
 
   /**
-   * By when the next attempt's connection has to be up (ms). Guards against a keyed repeat that was
-   * asked for within its window and written after it, when nobody discards it any more.
+   * By when the next attempt's connection must be established (ms). Without this limit a keyed
+   * repeat could be requested within its window and written after it, when the server no longer
+   * discards duplicates.
    */
   double connectBy(double now) {
     return freshness() == Freshness.BOUNDED
-        ? now + AGEING_MOST
-        : kind.repeat() == Repeat.KEYED ? risk + kind.keyTtl() : Double.POSITIVE_INFINITY;
+        ? now + MAX_AGEING_MS
+        : requestClass.repeat() == Repeat.KEYED
+            ? keyWindowStart + requestClass.keyTtl()
+            : Double.POSITIVE_INFINITY;
   }
 
-  /** Whether its data may have passed its bound since the decision to send it (ms). */
-  boolean aged(double decided, double now) {
-    return freshness() == Freshness.BOUNDED && now - decided > AGEING_MOST;
+  /** Whether the data may have passed its staleness bound since the decision to send (ms). */
+  boolean mayBeStale(double decidedAt, double now) {
+    return freshness() == Freshness.BOUNDED && now - decidedAt > MAX_AGEING_MS;
   }
 
-  /** Whether anything more may be sent for it now. */
-  boolean open(double now) {
-    return !over && !left && begun == null && now < deadline && now < connectBy(now);
+  /** Whether another attempt may be sent now. */
+  boolean maySend(double now) {
+    return !concluded && !clientLeft && answering == null && now < deadline && now < connectBy(now);
   }
 
-  void began(Attempt<Q, A> a) {
-    out.add(a);
-    risk = Math.min(risk, a.sent);
+  void attemptStarted(Attempt<Q, A> a) {
+    inFlight.add(a);
+    keyWindowStart = Math.min(keyWindowStart, a.startedAt);
   }
 
-  void ended(Attempt<Q, A> a, boolean neverRan) {
-    out.remove(a);
-    if (neverRan && !mayHaveRun && out.isEmpty()) {
-      risk = Double.POSITIVE_INFINITY;
+  void attemptEnded(Attempt<Q, A> a, boolean neverRan) {
+    inFlight.remove(a);
+    if (neverRan && !mayHaveRun && inFlight.isEmpty()) {
+      keyWindowStart = Double.POSITIVE_INFINITY;
     }
   }
 }
--- a/src/main/java/crankspar/core/PendingRequests.java
+++ b/src/main/java/crankspar/core/PendingRequests.java
@@ -5,18 +5,16 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/**
- * The requests of one core that are unanswered or have attempts out, by the core's names of them.
- */
+/** The requests of one core that are unanswered or have attempts in flight, by id. */
 final class PendingRequests<Q, A> {
-  private static final int NAME_RADIX = 36;
+  private static final int ID_RADIX = 36;
 
   private final Map<String, PendingRequest<Q, A>> byId = new HashMap<>();
-  private long ids;
+  private long lastId;
   private int unanswered;
 
   String nextId() {
-    return Long.toString(++ids, NAME_RADIX);
+    return Long.toString(++lastId, ID_RADIX);
   }
 
   void add(String id, PendingRequest<Q, A> request) {
@@ -24,33 +22,33 @@
     unanswered++;
   }
 
-  /** Null where it is over and nothing of it is out. */
+  /** Returns null if the request is concluded and none of its attempts are in flight. */
   PendingRequest<Q, A> get(String id) {
     return byId.get(id);
   }
 
-  /** Its answer is being given, or nobody wants one. */
-  void concluded(PendingRequest<Q, A> request) {
-    request.over = true;
+  /** Marks the request as answered, or as no longer wanted by its client. */
+  void markConcluded(PendingRequest<Q, A> request) {
+    request.concluded = true;
     unanswered--;
   }
 
-  void forgetIfOver(String id, PendingRequest<Q, A> request) {
-    if (request.over && request.out.isEmpty()) {
+  void removeIfFinished(String id, PendingRequest<Q, A> request) {
+    if (request.concluded && request.inFlight.isEmpty()) {
       byId.remove(id);
     }
   }
 
-  /** How many have no answer yet. */
+  /** The number of requests without an answer. */
   int unanswered() {
     return unanswered;
   }
 
-  /** Each that has no answer yet; answers may be given meanwhile. */
-  void eachUnanswered(BiConsumer<String, PendingRequest<Q, A>> what) {
+  /** Calls {@code action} for each request without an answer; answers may be given meanwhile. */
+  void forEachUnanswered(BiConsumer<String, PendingRequest<Q, A>> action) {
     for (Map.Entry<String, PendingRequest<Q, A>> e : List.copyOf(byId.entrySet())) {
-      if (!e.getValue().over) {
-        what.accept(e.getKey(), e.getValue());
+      if (!e.getValue().concluded) {
+        action.accept(e.getKey(), e.getValue());
       }
     }
   }
--- a/src/main/java/crankspar/core/Pooler.java
+++ b/src/main/java/crankspar/core/Pooler.java
@@ -14,9 +14,9 @@
 import java.util.logging.Logger;
 
 /**
- * Keeps what is owed: requests, their attempts and their deadlines. It feeds the decision module
- * with what happens and carries out what the module wants through small ports. It knows no wire: a
- * front's queries and answers pass through unread. Nothing here routes, retries or judges a member.
+ * Tracks client requests, their attempts and deadlines. It passes events to the routing module and
+ * carries out its decisions through {@link Ports}. Independent of the wire protocol: a front's
+ * queries and answers pass through unread. Nothing here routes, retries or judges a member.
  *
  * @param <Q> a front's queries
  * @param <A> its answers
@@ -24,8 +24,8 @@
 public final class Pooler<Q, A> implements Router.Actions {
   private static final Logger LOG = Logger.getLogger(Pooler.class.getName());
 
-  /** Share of the slack after a deadline at which the core answers by itself: a last guard. */
-  private static final double LAST = 0.5;
+  /** Share of the answer slack after which the core itself answers if the module has not. */
+  private static final double LAST_RESORT_SHARE = 0.5;
 
   private final Router.Settings settings;
   private final Ports.Time time;
@@ -34,16 +34,16 @@
   private final Router module;
   private final PendingRequests<Q, A> requests = new PendingRequests<>();
   private final DatabaseClock databaseClock = new DatabaseClock();
-  private final Turns turns;
+  private final EventQueue eventQueue;
   private final RequestStats stats;
   private final Attempts<Q, A> attempts;
   private final Prober<A> prober;
   private Ports.Audit audit;
   private Ports.SharedSessionMarks sessions;
-  private Function<Q, String> naming = query -> null;
+  private Function<Q, String> requestNaming = query -> null;
   private RequestLog log = RequestLog.NONE;
   private Ports.Peers peers = message -> {};
-  private double lastAnswer = Double.POSITIVE_INFINITY;
+  private double shutdownDeadline = Double.POSITIVE_INFINITY;
 
   public Pooler(
       Router.Settings settings,
@@ -51,23 +51,23 @@
       Ports.Backends<Q, A> backends,
       Ports.Discovery discovery,
       Counters counters,
-      BiFunction<Router.Settings, Router.Actions, Router> maker) {
+      BiFunction<Router.Settings, Router.Actions, Router> moduleFactory) {
     this.settings = settings;
     this.time = time;
     this.discovery = discovery;
     this.counters = counters;
     stats = new RequestStats(settings.classes().size());
-    var notes = new Notes(time, counters, databaseClock, this::foundAhead);
-    turns = new Turns(time, counters);
-    prober = new Prober<>(time, backends, counters, notes, settings.limits().dialTimeout());
+    var validator = new MemberStateValidator(time, counters, databaseClock, this::onClockAhead);
+    eventQueue = new EventQueue(time, counters);
+    prober = new Prober<>(time, backends, counters, validator, settings.limits().dialTimeout());
     attempts =
         new Attempts<>(
-            this, settings.limits(), time, backends, counters, stats, notes, databaseClock);
-    module = maker.apply(settings, this);
+            this, settings.limits(), time, backends, counters, stats, validator, databaseClock);
+    module = moduleFactory.apply(settings, this);
   }
 
   public void start(List<Member> known) {
-    event(
+    post(
         () -> {
           module.onStart(now());
           module.onMembers(now(), ListKind.OLD_COPY, known);
@@ -75,70 +75,70 @@
   }
 
   public void membersChanged(ListKind kind, List<Member> members) {
-    event(() -> module.onMembers(now(), kind, members));
+    post(() -> module.onMembers(now(), kind, members));
   }
 
   public void watchLost() {
-    event(() -> module.onWatchLost(now()));
+    post(() -> module.onWatchLost(now()));
   }
 
-  /** Whatever is taken from now on is answered by this time: the process ends after it. */
+  /** Caps all further deadlines at this time, because the process ends after it. */
   public void setShutdownDeadline(double time) {
-    lastAnswer = time;
+    shutdownDeadline = time;
   }
 
-  /** The time given to {@link #setShutdownDeadline}, else infinite. */
+  /** The time given to {@link #setShutdownDeadline}, or infinity. */
   public double shutdownDeadline() {
-    return lastAnswer;
+    return shutdownDeadline;
   }
 
-  /** Takes a request; its reply is called exactly once unless {@link #clientLeft} comes first. */
-  public String submit(Ports.ClientRequest<Q> asked, Ports.Reply<A> reply) {
+  /** Accepts a request; its reply is called exactly once unless {@link #clientLeft} is first. */
+  public String submit(Ports.ClientRequest<Q> submitted, Ports.Reply<A> reply) {
     String id = requests.nextId();
     counters.add("taken");
     double now = now();
-    double deadline = Math.max(now, Math.min(asked.deadline(), lastAnswer));
-    Ports.ClientRequest<Q> ask = asked.withDeadline(deadline);
-    String name = naming.apply(ask.query());
+    double deadline = Math.max(now, Math.min(submitted.deadline(), shutdownDeadline));
+    Ports.ClientRequest<Q> req = submitted.withDeadline(deadline);
+    String name = requestNaming.apply(req.query());
     var pending =
         new PendingRequest<>(
-            ask, settings.classes().get(ask.requestClass()), reply, now, name == null ? id : name);
+            req, settings.classes().get(req.requestClass()), reply, now, name == null ? id : name);
     requests.add(id, pending);
     reply.accepted(id);
     double mark =
         sessions != null && pending.freshness() == Freshness.SESSION
-            ? sessions.laterOf(ask.session(), ask.mark())
-            : ask.mark();
+            ? sessions.laterOf(req.session(), req.mark())
+            : req.mark();
     double age = databaseClock.age(mark, now);
-    event(
+    post(
         () ->
             module.onRequest(
                 now,
                 new Router.Request(
-                    id, ask.requestClass(), deadline - now, ask.session(), age, ask.group())));
+                    id, req.requestClass(), deadline - now, req.session(), age, req.group())));
     time.after(
-        deadline - now + settings.rules().answerSlack() * LAST,
+        deadline - now + settings.rules().answerSlack() * LAST_RESORT_SHARE,
         () -> {
           if (unanswered(pending)) {
             counters.add("overdue");
             log("failed", pending, () -> "deadline");
-            event(() -> module.onGone(now(), id));
+            post(() -> module.onGone(now(), id));
             answer(id, pending, pending.failed("deadline"));
           }
         });
     return id;
   }
 
-  /** The client has left: nothing is owed any more. */
+  /** The client has left and no longer waits for an answer. */
   public void clientLeft(String id) {
     PendingRequest<Q, A> pending = requests.get(id);
-    if (pending != null && !pending.over) {
+    if (pending != null && !pending.concluded) {
       counters.add("gone");
-      log("closed", pending, () -> "its client has left");
-      audit(pending, Ports.Audit.Answer.CLIENT_LEFT);
-      event(() -> module.onGone(now(), id));
+      log("closed", pending, () -> "the client disconnected");
+      auditAnswer(pending, Ports.Audit.Answer.CLIENT_LEFT);
+      post(() -> module.onGone(now(), id));
       conclude(id, pending);
-      attempts.callOff(pending);
+      attempts.abort(pending);
     }
   }
 
@@ -150,88 +150,86 @@
     return stats;
   }
 
-  /** The listed members that the module keeps work from. */
+  /** The listed members that the module currently sends no work to. */
   public java.util.Set<String> avoided() {
     return module.avoided();
   }
 
   /**
-   * The client waits for the answer that says it is called off: nothing further is sent, what is
-   * out is ended. A begun one goes on.
+   * The client has cancelled the request and waits for the answer that confirms this. Nothing
+   * further is sent, and attempts in flight are ended. An answer that has begun continues.
    */
   public void cancelledByClient(String id) {
     PendingRequest<Q, A> pending = requests.get(id);
     if (unanswered(pending)) {
       counters.add("cancelled");
-      event(() -> module.onGone(now(), id));
-      attempts.callOff(pending);
+      post(() -> module.onGone(now(), id));
+      attempts.abort(pending);
       answer(id, pending, pending.failed("canceled by its client"));
     }
   }
 
-  /**
-   * The client has left, and its answer is kept for who asks again: what has been written is
-   * awaited, nothing further begins.
-   */
+  /** The client has left, and the answer is kept for a repeat: only written attempts go on. */
   public void clientLeftKeepingAnswer(String id) {
     PendingRequest<Q, A> pending = requests.get(id);
     if (unanswered(pending)) {
-      pending.left = true;
-      pending.out.stream().filter(a -> !a.written).toList().forEach(attempts::callOff);
-      endIfLeft(id, pending);
+      pending.clientLeft = true;
+      pending.inFlight.stream().filter(a -> !a.written).toList().forEach(attempts::abort);
+      cancelIfClientLeft(id, pending);
     }
   }
 
-  /** Whether it is owed an answer of which nothing has come; {@code pending} may be null. */
+  /** Whether nothing of the answer has arrived yet; {@code pending} may be null. */
   private boolean unanswered(PendingRequest<Q, A> pending) {
-    return pending != null && !pending.over && pending.begun == null;
+    return pending != null && !pending.concluded && pending.answering == null;
   }
 
-  void endIfLeft(String id, PendingRequest<Q, A> pending) {
-    if (pending.left && pending.out.isEmpty()) {
+  void cancelIfClientLeft(String id, PendingRequest<Q, A> pending) {
+    if (pending.clientLeft && pending.inFlight.isEmpty()) {
       cancelledByClient(id);
     }
   }
 
-  /** The process ends: what was taken from then on (ms; nought: all) has its answer now. */
-  public void failUnanswered(double takenFrom) {
-    requests.eachUnanswered(
+  /** Fails the requests accepted from this time on (ms; 0: all), because the process ends. */
+  public void failUnanswered(double since) {
+    requests.forEachUnanswered(
         (id, pending) -> {
-          if (pending.taken < takenFrom || takenFrom > 0 && pending.begun != null) {
+          if (pending.acceptedAt < since || since > 0 && pending.answering != null) {
             return;
           }
-          event(() -> module.onGone(now(), id));
+          post(() -> module.onGone(now(), id));
           answer(id, pending, pending.failed("this pooler ends"));
-          if (pending.begun != null && pending.out.contains(pending.begun)) {
-            attempts.callOff(pending.begun);
+          if (pending.answering != null && pending.inFlight.contains(pending.answering)) {
+            attempts.abort(pending.answering);
           }
         });
   }
 
-  private void event(Runnable what) {
-    turns.take(what);
+  private void post(Runnable what) {
+    eventQueue.post(what);
   }
 
-  /** Tells the module, behind what it is hearing now. */
-  void event(Consumer<Router> what) {
-    turns.take(() -> what.accept(module));
+  /** Queues an event for the module behind those that it is processing. */
+  void post(Consumer<Router> what) {
+    eventQueue.post(() -> what.accept(module));
   }
 
+  /** The clock that all deadlines refer to. */
   public double now() {
     return time.now();
-  } // the clock that all deadlines are on
+  }
 
-  // ---- What the module wants.
+  // ---- Actions of the module.
   @Override
   public void send(String request, String member, double timeout) {
     PendingRequest<Q, A> pending = requests.get(request);
     if (pending != null) {
-      attempts.send(request, pending, member, timeout, turns.began());
+      attempts.send(request, pending, member, timeout, eventQueue.eventStart());
     }
   }
 
   void log(String event, PendingRequest<Q, A> pending, Supplier<String> details) {
-    log.write(event, pending.name, () -> details.get() + pending.told(now()));
+    log.write(event, pending.name, () -> details.get() + pending.describe(now()));
   }
 
   @Override
@@ -241,7 +239,7 @@
       log(
           "refused",
           pending,
-          () -> "by routing, to be tried again in " + Math.round(retryIn) + " ms");
+          () -> "by the routing module, retry in " + Math.round(retryIn) + " ms");
       answer(request, pending, new FinalAnswer.Refused<>(retryIn));
     }
   }
@@ -250,43 +248,43 @@
   public void fail(String request) {
     PendingRequest<Q, A> pending = requests.get(request);
     if (unanswered(pending)) {
-      log("failed", pending, () -> "given up by routing");
+      log("failed", pending, () -> "given up by the routing module");
       answer(request, pending, pending.failed("given up"));
     }
   }
 
   void answer(String id, PendingRequest<Q, A> pending, FinalAnswer<A> answer) {
     conclude(id, pending);
-    stats.answered(pending.ask.requestClass(), answer);
-    audit(pending, Ports.Audit.Answer.of(answer));
+    stats.answered(pending.request.requestClass(), answer);
+    auditAnswer(pending, Ports.Audit.Answer.of(answer));
     counters.add(
         "answered_" + answer.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT));
     pending.reply.answer(answer);
   }
 
   private void conclude(String id, PendingRequest<Q, A> pending) {
-    requests.concluded(pending);
-    // Behind what the module is yet to hear: a send that it asks for meanwhile still gets its
-    // outcome.
-    event(() -> requests.forgetIfOver(id, pending));
+    requests.markConcluded(pending);
+    // Queued behind pending module events: a send that the module requests meanwhile still gets
+    // its outcome.
+    post(() -> requests.removeIfFinished(id, pending));
   }
 
-  private void audit(PendingRequest<Q, A> pending, Ports.Audit.Answer how) {
+  private void auditAnswer(PendingRequest<Q, A> pending, Ports.Audit.Answer how) {
     if (audit != null) {
-      audit.answered(pending.name, how, pending.ask.requestClass(), now());
+      audit.answered(pending.name, how, pending.request.requestClass(), now());
     }
   }
 
-  /** A front has read a request and does not take it: what became of it. */
+  /** Records in the audit what became of a request that a front has read but not accepted. */
   public void auditNotTaken(Q query, int requestClass, Ports.Audit.Answer how) {
-    String name = naming.apply(query);
+    String name = requestNaming.apply(query);
     if (audit != null && name != null) {
       audit.answered(name, how, requestClass, now());
     }
   }
 
-  void forgetIfOver(String id, PendingRequest<Q, A> pending) {
-    requests.forgetIfOver(id, pending);
+  void removeIfFinished(String id, PendingRequest<Q, A> pending) {
+    requests.removeIfFinished(id, pending);
   }
 
   @Override
@@ -299,7 +297,7 @@
 
   @Override
   public void setTimer(double delay, long cookie) {
-    time.after(delay, () -> event(() -> module.onTimer(now(), cookie)));
+    time.after(delay, () -> post(() -> module.onTimer(now(), cookie)));
   }
 
   @Override
@@ -307,68 +305,68 @@
     prober.probe(this, member);
   }
 
-  /** From now on others may probe for this core. */
-  public void setSharedProber(Ports.SharedProber probes) {
-    prober.others(probes);
+  /** Lets another component probe members on behalf of this core. */
+  public void setSharedProber(Ports.SharedProber sharedProber) {
+    prober.sharedProber(sharedProber);
   }
 
-  /** A probe's result, whoever made it; {@code elapsed} is how old it is at most (ms). */
+  /** The result of a probe, whoever sent it; {@code elapsed} is its maximum age (ms). */
   public void probeCompleted(
       String member, boolean ok, double elapsed, Role role, double position) {
-    double ours = databaseClock.ours(position);
-    Role told = ok ? role : Role.UNKNOWN;
-    event(() -> module.onProbe(now(), new Router.ProbeResult(member, ok, elapsed, told, ours)));
+    double local = databaseClock.toLocal(position);
+    Role reported = ok ? role : Role.UNKNOWN;
+    post(() -> module.onProbe(now(), new Router.ProbeResult(member, ok, elapsed, reported, local)));
   }
 
-  /** How far (ms) the databases' clock is ahead of ours, as far as that is known. */
+  /** How far (ms) the databases' clock is known to be ahead of this process's. */
   public double databaseClockAhead() {
-    return databaseClock.ahead();
+    return databaseClock.aheadMs();
   }
 
-  private void foundAhead() {
-    double ahead = databaseClock.ahead();
+  private void onClockAhead() {
+    double ahead = databaseClock.aheadMs();
     LOG.warning("the databases' clock is " + Math.round(ahead) + " ms ahead of this process's");
-    event(() -> module.onDatabaseClock(now(), ahead));
+    post(() -> module.onDatabaseClock(now(), ahead));
   }
 
-  /** Probes at once over this core's connections, and tells what came of it, once. */
-  public void probeNow(String member, Ports.ProbeListener told) {
-    prober.now(member, told);
+  /** Probes a member at once over this core's connections and reports the result once. */
+  public void probeNow(String member, Ports.ProbeListener listener) {
+    prober.probeNow(member, listener);
   }
 
-  /** From now on sessions' marks are shared with other processes of this pooler. */
+  /** Shares the positions of sessions' writes with the other processes of this pooler. */
   public void setSharedSessionMarks(Ports.SharedSessionMarks sessions) {
     this.sessions = sessions;
-    attempts.sessions(sessions);
+    attempts.setSharedSessionMarks(sessions);
   }
 
-  /** From now on what is sent and answered is kept there. */
+  /** Records in this audit what is sent and answered. */
   public void setAudit(Ports.Audit audit) {
     this.audit = audit;
-    attempts.audit(audit);
+    attempts.setAudit(audit);
   }
 
-  /** This process has stood still: what its module takes for a member's silence was its own. */
+  /** This process was stalled: a silence that the module would attribute to members was its own. */
   public void stalled() {
-    event(() -> module.onStall(now()));
+    post(() -> module.onStall(now()));
   }
 
-  /** Gives a query's own name, by which logs and the audit know it, or null where it has none. */
-  public void setRequestNaming(Function<Q, String> naming) {
-    this.naming = naming;
+  /** Sets how a query's own id is found for logs and audit; null means it has none. */
+  public void setRequestNaming(Function<Q, String> requestNaming) {
+    this.requestNaming = requestNaming;
   }
 
-  /** A front closes a client's connection with this request owed, or null where none is. */
+  /** Logs a closed client connection; {@code request} is the unanswered one, or null. */
   public void connectionClosing(String request, String why) {
     log.write("connection closed", request, () -> why);
   }
 
-  /** From now on refusals, retries and closes are told there. */
+  /** Sets the log for refusals, retries and closed connections. */
   public void log(RequestLog log) {
     this.log = log;
   }
 
-  /** From now on the module's messages go this way. */
+  /** Sets the transport for the module's messages to other poolers. */
   public void setPeers(Ports.Peers peers) {
     this.peers = peers;
   }
@@ -378,12 +376,12 @@
     peers.broadcast(message);
   }
 
-  /** A message from another pooler, as it came. */
+  /** Passes a message from another pooler to the module, unparsed. */
   public void peerMessageReceived(byte[] message) {
-    event(() -> module.onPeer(now(), message));
+    post(() -> module.onPeer(now(), message));
   }
 
-  /** The module's counts since the start. */
+  /** The module's counters since the start. */
   public Map<String, Long> moduleCounters() {
     return module.counts();
   }
--- a/src/main/java/crankspar/core/Ports.java
+++ b/src/main/java/crankspar/core/Ports.java
@@ -4,58 +4,66 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 
-/** What the core needs of the world and offers to it: small interfaces that know no wire. */
+/**
+ * The interfaces between the core and its surroundings. They are independent of any wire protocol.
+ */
 public interface Ports {
-  /** Time as Unix ms that never goes back, and timers on the thread that owns all state. */
+  /**
+   * A clock in Unix ms that never goes backwards, and timers that run on the event loop thread,
+   * which owns all state.
+   */
   interface Time {
     double now();
 
     void after(double ms, Runnable what);
 
     /**
-     * As {@link #after}, where the time that this process stood still does not count: for time-outs
-     * on a peer's silence. Guards against a peer that is held for dead because its answer could not
-     * be heard.
+     * Like {@link #after}, but time during which this process was stalled does not count. For
+     * timeouts on a peer's silence: otherwise a peer would be declared dead although it answered
+     * while this process could not read.
      */
     default void afterExcludingStalls(double ms, Runnable what) {
       after(ms, what);
     }
   }
 
-  /** An attempt that is out. */
+  /** An attempt in flight. */
   interface Call {
     /**
-     * Gives it up by ending its connection; tells how far it had come. No end is told after this.
+     * Abandons the attempt by closing its connection and returns how far it had come. The
+     * listener's {@code ended} is not called after this.
      */
     AttemptProgress abandon();
   }
 
-  /** What an attempt tells of itself, each thing once at most. */
+  /** Receives the events of one attempt, each at most once. */
   interface AttemptListener<A> {
     /**
-     * Whether somebody still waits for it; asked right before it is written, and a no means that it
-     * is not. Guards against an attempt for a client that left while a connection came up, or while
-     * this process was late.
+     * Whether the attempt's result is still wanted. Called right before the attempt is written; if
+     * false, it is not written. Otherwise an attempt could be sent for a client that disconnected
+     * while a connection was being opened, or while this process was late.
      */
     default boolean stillWanted() {
       return true;
     }
 
-    /** Its last byte has left. */
+    /** The last byte of the request has been written. */
     default void written() {}
 
     /**
-     * An answer too long to hold has begun: it is passed on as it comes, and its end is told as any
-     * other. False where nobody waits for it any more.
+     * An answer too long to buffer has begun: it is forwarded as it arrives, and its end is
+     * reported by {@link #ended} like that of any other. Returns false if nobody waits for it any
+     * more.
      */
     default boolean answerBegan(A answer) {
       return false;
     }
 
     /**
-     * Its member has answered, and the connection stays its client's: a transaction that goes on.
-     * As {@link #answerBegan}, but the module hears of it now, whatever its class: how long a
-     * client takes between two statements says nothing of its member.
+     * The member has answered, and the connection stays reserved for the client because its
+     * transaction continues. Like {@link #answerBegan}, but the outcome is reported to the routing
+     * module now, whatever the request's class: the time that a client takes between two statements
+     * says nothing about its member.
      */
     default boolean answeredInTransaction(A answer, AttemptEnd.MemberState note) {
       return false;
@@ -64,48 +72,52 @@
     void ended(AttemptEnd<A> end);
   }
 
-  /** Where a request's one final answer goes. */
+  /** Receives the one final answer to a request. */
   interface Reply<A> {
     /**
-     * The request is taken and has this name in {@link Pooler#clientLeft} and {@link
-     * Pooler#cancelledByClient}; called before anything is decided on it. Guards against a cancel
-     * that comes within the decision and finds no name to cancel.
+     * The request has been accepted and has this id in {@link Pooler#clientLeft} and {@link
+     * Pooler#cancelledByClient}. Called before any routing decision is made: otherwise a cancel
+     * that arrives during the decision would find no request to cancel.
      */
     default void accepted(String request) {}
 
     /**
-     * Whether its client is still there, by what its connection holds at this moment. Asked right
-     * before an attempt begins; a client that has left may be told of as gone within this call.
+     * Whether the client is still connected, judged by what its connection holds at this moment.
+     * Called right before an attempt is written; the implementation may report the client as gone
+     * within this call.
      */
     default boolean clientConnected() {
       return true;
     }
 
     /**
-     * Whether the answer is kept for who asks again: what is out when its client has left is
-     * awaited then.
+     * Whether the answer is kept for a repeat of the request. If so, attempts in flight are awaited
+     * even after the client has left.
      */
     default boolean keepsAnswer() {
       return false;
     }
 
     /**
-     * The answer has begun, and the rest comes as the server gives it; the final answer tells how
+     * The answer has begun, and the rest follows as the server sends it; the final answer tells how
      * it ended.
      */
     default void answerBegan(A answer) {
-      throw new UnsupportedOperationException("answers are taken whole here");
+      throw new UnsupportedOperationException("this reply does not accept streamed answers");
     }
 
     void answer(FinalAnswer<A> answer);
   }
 
-  /** Where attempts go. An end may be told before {@code send} has returned. */
+  /**
+   * Sends attempts to members. An attempt's end may be reported before {@code send} has returned.
+   */
   interface Backends<Q, A> {
     /**
-     * Sends once, whole, or not at all; it is waited for until {@code deadline}. A connection that
-     * comes up after {@code connectBy} is too late for it. Both are times of the core's clock (ms):
-     * a process that stands still on the way adds nothing to them.
+     * Sends the query once, completely or not at all, and waits for its answer until {@code
+     * deadline}. A connection that is established after {@code connectBy} is too late to be used.
+     * Both are absolute times of the core's clock (ms), so that a stall of this process on the way
+     * does not extend them.
      */
     Call send(
         String member, Q query, double deadline, double connectBy, AttemptListener<A> listener);
@@ -113,52 +125,55 @@
     Call probe(String member, Consumer<AttemptEnd<A>> end);
   }
 
-  /** Who probes for several, so that not each has to. */
+  /** Probes members on behalf of several cores, so that not each of them has to. */
   interface SharedProber {
     /**
-     * Whether this member's probes are taken care of: its results come by {@link
-     * Pooler#probeCompleted}.
+     * Whether this member is probed on behalf of {@code core}; if so, the results arrive through
+     * {@link Pooler#probeCompleted}.
      */
     boolean handles(Pooler<?, ?> core, String member);
   }
 
-  /** Cancels that reached another process of this pooler than the one that has the request. */
+  /**
+   * Cancel requests that arrived at a process of this pooler other than the one that has the
+   * session.
+   */
   interface SharedCancels {
-    /** Tells the others of one whose key names nobody here. */
+    /** Publishes a cancel key that matches no session of this process to the other processes. */
     void add(long key);
 
     /**
-     * Hands over each that was added since the last call, also those of this process; false where
-     * some were overwritten before they could be read.
+     * Passes on each key that was added since the last call, including those of this process.
+     * Returns false if some were overwritten before they could be read.
      */
     boolean takeNew(LongConsumer told);
   }
 
-  /** The way to the other poolers: each message to all of them, late or never. */
+  /** Sends messages to all other poolers; each may arrive late or never. */
   interface Peers {
     void broadcast(byte[] message);
   }
 
-  /** What a probe found; {@code position} is Unix ms or NaN. */
+  /** Receives the result of a probe; {@code position} is in Unix ms, or NaN. */
   interface ProbeListener {
     void probeCompleted(boolean ok, double elapsed, Role role, double position);
   }
 
   /**
-   * What sessions have written through other processes of this pooler; off the path where there is
-   * none.
+   * Commit positions of sessions that have written through other processes of this pooler. Not in
+   * the request path if there is no such process.
    */
   interface SharedSessionMarks {
     /**
-     * A write of this session was committed at {@code commit} (Unix ms, or NaN); told before its
-     * client is.
+     * A write of this session was committed at {@code commit} (Unix ms, or NaN). Called before the
+     * client receives its answer.
      */
     void writeCommitted(String session, double commit);
 
-    /** The position (Unix ms) that a read of this session must see, or NaN. */
+    /** The position (Unix ms) that a read of this session must reach, or NaN. */
     double requiredPosition(String session);
 
-    /** The later of this mark (or NaN) and what the session needs. */
+    /** The later of {@code mark} (or NaN) and the position that the session requires. */
     default double laterOf(String session, double mark) {
       double need = requiredPosition(session);
       return Double.isNaN(need) || mark > need ? mark : need;
@@ -166,17 +181,20 @@
   }
 
   /**
-   * Who keeps what was sent under which stand; see the package {@code audit}. Off the path of a
-   * request where there is none.
+   * Records what was sent under which stand, a numbered version of the state that the pooler acts
+   * on; see the package {@code audit}. Not in the request path if there is no audit.
    */
   interface Audit {
     enum Answer {
       SERVED,
       REFUSED,
       FAILED,
-      /** Its client left before it was answered. */
+      /** The client left before the request was answered. */
       CLIENT_LEFT,
-      /** It was read and not taken, as its client had left or cancelled it: nothing was sent. */
+      /**
+       * The request was read but not accepted, because its client had left or cancelled it: nothing
+       * was sent.
+       */
       NOT_TAKEN;
 
       static Answer of(FinalAnswer<?> answer) {
@@ -186,27 +204,32 @@
       }
     }
 
-    /** An attempt's last byte has left; it counts under the present stand. */
+    /** The last byte of an attempt has been written; it counts under the current stand. */
     void sent(String request, String member, int requestClass, double now);
 
     void answered(String request, Answer how, int requestClass, double now);
 
-    /** What an answer told of its member; {@code position} is Unix ms or NaN. */
+    /**
+     * The role and position that an answer reported for its member; {@code position} is in Unix ms,
+     * or NaN.
+     */
     void role(String member, Role role, double position);
   }
 
-  /** The list of members: ends of a watch come back through {@link Pooler#watchLost}. */
+  /**
+   * The source of the list of members. A lost watch is reported through {@link Pooler#watchLost}.
+   */
   interface Discovery {
     void watch(boolean on);
   }
 
   /**
-   * What a front has taken, to be answered by {@code deadline} (ms of the core's clock). The mark
-   * is the position (Unix ms) that a session's read must see, or NaN.
+   * A request that a front has read, to be answered by {@code deadline} (ms of the core's clock).
+   * {@code mark} is the position (Unix ms) that a read of the session must reach, or NaN.
    */
   record ClientRequest<Q>(
       int requestClass, double deadline, String session, double mark, int group, Q query) {
-    /** The same, to be answered by then. */
+    /** Returns this request with another deadline. */
     ClientRequest<Q> withDeadline(double time) {
       return new ClientRequest<>(requestClass, time, session, mark, group, query);
     }
--- a/src/main/java/crankspar/core/Prober.java
+++ b/src/main/java/crankspar/core/Prober.java
@@ -2,66 +2,73 @@
 
 import crankspar.Router.Role;
 
-/** Probes of one core: over its own connections, unless somebody probes for several. */
+/**
+ * Sends the probes of one core over its own connections, unless a {@link Ports.SharedProber}
+ * handles the member.
+ */
 final class Prober<A> {
   private final Ports.Time time;
   private final Ports.Backends<?, A> backends;
   private final Counters counters;
-  private final Notes notes;
-  private final double most;
-  private Ports.SharedProber others;
+  private final MemberStateValidator validator;
+  private final double timeoutMs;
+  private Ports.SharedProber sharedProber;
 
-  /** A probe that takes longer than {@code most} ms is given up. */
+  /** A probe that takes longer than {@code timeoutMs} is abandoned and counts as failed. */
   Prober(
-      Ports.Time time, Ports.Backends<?, A> backends, Counters counters, Notes notes, double most) {
+      Ports.Time time,
+      Ports.Backends<?, A> backends,
+      Counters counters,
+      MemberStateValidator validator,
+      double timeoutMs) {
     this.time = time;
     this.backends = backends;
     this.counters = counters;
-    this.notes = notes;
-    this.most = most;
+    this.validator = validator;
+    this.timeoutMs = timeoutMs;
   }
 
-  void others(Ports.SharedProber others) {
-    this.others = others;
+  void sharedProber(Ports.SharedProber sharedProber) {
+    this.sharedProber = sharedProber;
   }
 
   void probe(Pooler<?, ?> core, String member) {
-    if (others == null || !others.handles(core, member)) {
-      now(
+    if (sharedProber == null || !sharedProber.handles(core, member)) {
+      probeNow(
           member,
           (ok, elapsed, role, position) ->
               core.probeCompleted(member, ok, elapsed, role, position));
     }
   }
 
-  void now(String member, Ports.ProbeListener told) {
+  void probeNow(String member, Ports.ProbeListener listener) {
     counters.add("probes");
     double sent = time.now();
-    boolean[] over = new boolean[1];
+    boolean[] done = new boolean[1];
     Ports.Call call =
         backends.probe(
             member,
             end -> {
-              if (!over[0]) {
-                over[0] = true;
-                AttemptEnd.MemberState note =
+              if (!done[0]) {
+                done[0] = true;
+                AttemptEnd.MemberState state =
                     end instanceof AttemptEnd.Served<A> s
-                        ? notes.plausible(s.memberState())
+                        ? validator.validate(s.memberState())
                         : AttemptEnd.MemberState.NONE;
-                told.probeCompleted(
+                listener.probeCompleted(
                     end instanceof AttemptEnd.Served<A>,
                     time.now() - sent,
-                    note.role(),
-                    note.position());
+                    state.role(),
+                    state.position());
               }
             });
     time.afterExcludingStalls(
-        most,
+        timeoutMs,
         () -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!done[0]) {
+            done[0] = true;
             call.abandon();
-            told.probeCompleted(false, time.now() - sent, Role.UNKNOWN, Double.NaN);
+            listener.probeCompleted(false, time.now() - sent, Role.UNKNOWN, Double.NaN);
           }
         });
   }
--- a/src/main/java/crankspar/core/RequestStats.java
+++ b/src/main/java/crankspar/core/RequestStats.java
@@ -1,6 +1,9 @@
 package crankspar.core;
 
-/** What one core has done since its start, by class: each is counted once, where it happens. */
+/**
+ * Counters of one core's answers by request class, and of its attempts, since the start. Each event
+ * is counted once, where it happens.
+ */
 public final class RequestStats {
   private final long[] ok;
   private final long[] refused;
--- a/src/main/java/crankspar/http/HttpEncoder.java
+++ b/src/main/java/crankspar/http/HttpEncoder.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Messages as bytes. A body always has its length told. */
+/** Encodes HTTP/1.1 messages. A body is always sent with its Content-Length. */
 public final class HttpEncoder {
   private HttpEncoder() {}
 
@@ -17,18 +17,18 @@
   }
 
   private static byte[] message(
-      String start, Map<String, String> headers, byte[] body, boolean length) {
-    var text = new StringBuilder(start).append("\r\n");
+      String startLine, Map<String, String> headers, byte[] body, boolean withLength) {
+    var text = new StringBuilder(startLine).append("\r\n");
     headers.forEach(
         (k, v) -> text.append(k).append(": ").append(v.replaceAll("[\r\n]", " ")).append("\r\n"));
-    if (length) {
+    if (withLength) {
       text.append("Content-Length: ").append(body.length).append("\r\n");
     }
     byte[] head = text.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-    var whole = new byte[head.length + body.length];
-    System.arraycopy(head, 0, whole, 0, head.length);
-    System.arraycopy(body, 0, whole, head.length, body.length);
-    return whole;
+    var message = new byte[head.length + body.length];
+    System.arraycopy(head, 0, message, 0, head.length);
+    System.arraycopy(body, 0, message, head.length, body.length);
+    return message;
   }
 
   public static String reason(int status) {
--- a/src/main/java/crankspar/http/HttpHead.java
+++ b/src/main/java/crankspar/http/HttpHead.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * A start line and headers; names of headers are kept in lower case, repeated ones joined by
- * commas.
+ * The start line and headers of a message. Header names are kept in lower case; the values of
+ * repeated headers are joined by commas.
  */
 public sealed interface HttpHead {
   Map<String, String> headers();
@@ -13,7 +13,7 @@
     return headers().get(name);
   }
 
-  /** Whether the connection is of use after this message. */
+  /** Whether the connection may be reused after this message. */
   default boolean keepAlive() {
     String connection = header("connection");
     return connection == null || !connection.toLowerCase(java.util.Locale.ROOT).contains("close");
--- a/src/main/java/crankspar/http/HttpParser.java
+++ b/src/main/java/crankspar/http/HttpParser.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 
 /**
- * HTTP/1.1 messages out of bytes, however they were cut: heads, then bodies as they come, chunked
- * or not.
+ * Incremental parser for HTTP/1.1 messages. Input may be split anywhere; heads are reported first,
+ * then bodies as they arrive, chunked or not.
  */
 public final class HttpParser {
-  /** What comes out. */
+  /** Receives the parts of parsed messages. */
   public interface Handler {
     void head(HttpHead head);
 
@@ -21,7 +21,7 @@
     void end();
   }
 
-  /** Bytes that are no HTTP, or too many of them. */
+  /** The input is not valid HTTP, or exceeds a limit. */
   public static final class Malformed extends Exception {
     Malformed(String message) {
       super(message);
@@ -38,23 +38,23 @@
     TO_CLOSE
   }
 
-  private static final int LINE_MOST = 8 * 1024;
-  private static final int HEADERS_MOST = 100;
+  private static final int MAX_LINE_BYTES = 8 * 1024;
+  private static final int MAX_HEADERS = 100;
 
   private final Handler handler;
   private final boolean requests;
-  private final long bodyMost;
+  private final long maxBodyBytes;
   private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
   private State state = State.HEAD;
-  private String start;
+  private String startLine;
   private Map<String, String> headers = new LinkedHashMap<>();
-  private long left;
+  private long remaining;
   private int status;
-  private int messages;
+  private int completedMessages;
 
-  public HttpParser(boolean requests, long bodyMost, Handler handler) {
+  public HttpParser(boolean requests, long maxBodyBytes, Handler handler) {
     this.requests = requests;
-    this.bodyMost = bodyMost;
+    this.maxBodyBytes = maxBodyBytes;
     this.handler = handler;
   }
 
@@ -64,18 +64,18 @@
     }
   }
 
-  /** Feeds to the end of one message at most: what follows stays in the buffer. */
+  /** Parses up to the end of one message; what follows stays in the buffer. */
   public void feedMessage(ByteBuffer in) throws Malformed {
-    messages = 0;
-    while (in.hasRemaining() && messages == 0) {
+    completedMessages = 0;
+    while (in.hasRemaining() && completedMessages == 0) {
       switch (state) {
         case LENGTH, CHUNK, TO_CLOSE -> bodyPart(in);
         default -> {
           byte b = in.get();
           if (b != '\n') {
             line.write(b);
-            if (line.size() > LINE_MOST) {
-              throw new Malformed("a line of more than " + LINE_MOST + " bytes");
+            if (line.size() > MAX_LINE_BYTES) {
+              throw new Malformed("a line is longer than " + MAX_LINE_BYTES + " bytes");
             }
           } else {
             String text = line.toString(StandardCharsets.ISO_8859_1);
@@ -87,29 +87,32 @@
     }
   }
 
-  /** Whether no part of a next message has come. */
+  /** Whether no part of another message has arrived. */
   public boolean betweenMessages() {
-    return state == State.HEAD && start == null && line.size() == 0;
+    return state == State.HEAD && startLine == null && line.size() == 0;
   }
 
-  /** The connection has ended: the end of a body that has no other, or of a message cut short. */
+  /**
+   * The connection was closed, which ends a body that has no other delimiter; any other message in
+   * progress was cut short.
+   */
   public void close() throws Malformed {
     if (state == State.TO_CLOSE) {
       end();
-    } else if (state != State.HEAD || start != null || line.size() > 0) {
-      throw new Malformed("the message was cut short");
+    } else if (state != State.HEAD || startLine != null || line.size() > 0) {
+      throw new Malformed("the connection was closed within a message");
     }
   }
 
   private void bodyPart(ByteBuffer in) {
-    int n = state == State.TO_CLOSE ? in.remaining() : (int) Math.min(left, in.remaining());
+    int n = state == State.TO_CLOSE ? in.remaining() : (int) Math.min(remaining, in.remaining());
     var part = new byte[n];
     in.get(part);
-    left -= state == State.TO_CLOSE ? 0 : n;
+    remaining -= state == State.TO_CLOSE ? 0 : n;
     handler.body(part);
-    if (state == State.LENGTH && left == 0) {
+    if (state == State.LENGTH && remaining == 0) {
       end();
-    } else if (state == State.CHUNK && left == 0) {
+    } else if (state == State.CHUNK && remaining == 0) {
       state = State.CHUNK_END;
     }
   }
@@ -117,14 +120,14 @@
   private void line(String text) throws Malformed {
     switch (state) {
       case HEAD -> {
-        if (start == null) {
-          start = text.isEmpty() ? null : text; // an empty line before a message is passed over
+        if (startLine == null) {
+          startLine = text.isEmpty() ? null : text; // skips empty lines before a message
         } else if (text.isEmpty()) {
           head();
         } else {
           int colon = text.indexOf(':');
-          if (colon <= 0 || headers.size() >= HEADERS_MOST) {
-            throw new Malformed("a header that is none, or too many of them");
+          if (colon <= 0 || headers.size() >= MAX_HEADERS) {
+            throw new Malformed("a header line without a name, or too many headers");
           }
           headers.merge(
               text.substring(0, colon).strip().toLowerCase(Locale.ROOT),
@@ -133,12 +136,12 @@
         }
       }
       case CHUNK_SIZE -> {
-        left = number(text.split(";", 2)[0].strip(), 16);
-        state = left == 0 ? State.TRAILER : State.CHUNK;
+        remaining = number(text.split(";", 2)[0].strip(), 16);
+        state = remaining == 0 ? State.TRAILER : State.CHUNK;
       }
       case CHUNK_END -> {
         if (!text.isEmpty()) {
-          throw new Malformed("a chunk is longer than it says");
+          throw new Malformed("a chunk is longer than its declared size");
         }
         state = State.CHUNK_SIZE;
       }
@@ -154,19 +157,19 @@
   private long number(String text, int radix) throws Malformed {
     try {
       long n = Long.parseLong(text, radix);
-      if (n >= 0 && n <= bodyMost) {
+      if (n >= 0 && n <= maxBodyBytes) {
         return n;
       }
     } catch (NumberFormatException e) {
-      // told below
+      // reported below
     }
-    throw new Malformed("no length, or too much: " + text);
+    throw new Malformed("not a number, or too large: " + text);
   }
 
   private void head() throws Malformed {
-    String[] words = start.split(" ", 3);
+    String[] words = startLine.split(" ", 3);
     if (words.length < (requests ? 3 : 2) || !words[requests ? 2 : 0].startsWith("HTTP/1.")) {
-      throw new Malformed("no HTTP/1 start line");
+      throw new Malformed("not an HTTP/1 start line");
     }
     HttpHead head;
     if (requests) {
@@ -178,15 +181,15 @@
     String encoding = headers.get("transfer-encoding");
     String length = headers.get("content-length");
     if (encoding != null && length != null) {
-      throw new Malformed("both a length and a transfer encoding");
+      throw new Malformed("both Content-Length and Transfer-Encoding are present");
     }
     boolean chunked = encoding != null && encoding.toLowerCase(Locale.ROOT).endsWith("chunked");
-    left = length != null ? number(length, 10) : 0;
+    remaining = length != null ? number(length, 10) : 0;
     boolean none = !requests && (status / 100 == 1 || status == 204 || status == 304);
     handler.head(head);
     if (!none && chunked) {
       state = State.CHUNK_SIZE;
-    } else if (!none && left > 0) {
+    } else if (!none && remaining > 0) {
       state = State.LENGTH;
     } else if (none || requests || length != null) {
       end();
@@ -197,9 +200,9 @@
 
   private void end() {
     state = State.HEAD;
-    start = null;
+    startLine = null;
     headers = new LinkedHashMap<>();
-    messages++;
+    completedMessages++;
     handler.end();
   }
 }
--- a/src/test/java/crankspar/core/CancelRouterTest.java
+++ b/src/test/java/crankspar/core/CancelRouterTest.java
@@ -7,9 +7,9 @@
 import java.util.function.LongConsumer;
 import org.junit.jupiter.api.Test;
 
-/** Two processes of one pooler, each with one session, and what they share. */
+/** Two processes of one pooler, with one session each, that share cancels. */
 class CancelRouterTest {
-  /** Hears only of what the other process has added. */
+  /** Delivers only the keys that the other process has added. */
   private static final class Shared implements Ports.SharedCancels {
     private final List<Long> added = new ArrayList<>();
     private Shared other;
@@ -77,7 +77,7 @@
     time.periodic.run();
     assertThat(cancelled).containsExactly(Integer.MAX_VALUE + " -7");
     successor.deliverShared();
-    assertThat(atOld.added).as("what names nobody here either is not sent back").isEmpty();
+    assertThat(atOld.added).as("an unknown key is not sent back").isEmpty();
     assertThat(counters.get("cancels_unknown")).isEqualTo(2);
     assertThat(counters.get("cancels_from_another_process")).isEqualTo(1);
   }
--- a/src/test/java/crankspar/core/LastCheckTest.java
+++ b/src/test/java/crankspar/core/LastCheckTest.java
@@ -10,7 +10,9 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** What is asked right before a write, after time has gone by since the decision to send. */
+/**
+ * The check right before an attempt is written, after time has passed since the decision to send.
+ */
 class LastCheckTest implements Ports.Time, Ports.Backends<String, String> {
   private static final int BOUNDED = 0;
   private static final int FRESH = 2;
@@ -19,7 +21,7 @@
   private final List<FinalAnswer<String>> answers = new ArrayList<>();
   private final Counters counters = new Counters();
   private double now = 1000;
-  private double passes;
+  private double elapsedBeforeCheck;
   private boolean present = true;
   private Ports.AttemptListener<String> listener;
   private boolean wanted;
@@ -33,7 +35,7 @@
           counters,
           (settings, actions) -> new Once(actions));
 
-  /** Sends each request once. */
+  /** Routing module that sends each request once. */
   private record Once(Actions actions) implements Router {
     @Override
     public void onStart(double now) {}
@@ -82,7 +84,7 @@
       double deadline,
       double connectBy,
       Ports.AttemptListener<String> listener) {
-    now += passes;
+    now += elapsedBeforeCheck;
     this.listener = listener;
     wanted = listener.stillWanted();
     return () -> AttemptProgress.NOT_CONNECTED;
@@ -93,8 +95,8 @@
     throw new UnsupportedOperationException();
   }
 
-  private void take(int requestClass, double passes) {
-    this.passes = passes;
+  private void submit(int requestClass, double passes) {
+    this.elapsedBeforeCheck = passes;
     pooler.submit(
         new Ports.ClientRequest<>(requestClass, now + DEADLINE_MS, "s", Double.NaN, 2, "query"),
         new Ports.Reply<>() {
@@ -112,29 +114,32 @@
 
   @Test
   void whatIsWrittenAtOnceIsWanted() {
-    take(BOUNDED, 0);
+    submit(BOUNDED, 0);
     assertThat(wanted).isTrue();
   }
 
-  /** Guards against a stale read: the module judged a replica's position before the stop. */
+  /**
+   * Guards against a stale read: the module checked the replica's position before a stall of the
+   * process.
+   */
   @Test
   void aBoundedReadIsNotWrittenLongAfterItWasDecided() {
-    take(BOUNDED, 60);
+    submit(BOUNDED, 60);
     assertThat(wanted).isFalse();
-    take(FRESH, 60);
+    submit(FRESH, 60);
     assertThat(wanted).isTrue();
   }
 
   @Test
   void nothingIsWrittenBehindItsDeadline() {
-    take(FRESH, DEADLINE_MS + 1);
+    submit(FRESH, DEADLINE_MS + 1);
     assertThat(wanted).isFalse();
   }
 
   @Test
   void nothingIsWrittenForAClientThatHasLeftAndItsRequestIsOver() {
     present = false;
-    take(FRESH, 0);
+    submit(FRESH, 0);
     assertThat(wanted).isFalse();
     assertThat(pooler.unansweredCount()).isZero();
     assertThat(counters.get("gone")).isEqualTo(1);
--- a/src/test/java/crankspar/core/PoolerFixture.java
+++ b/src/test/java/crankspar/core/PoolerFixture.java
@@ -15,26 +15,26 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** A core with a scripted policy, a clock and backends that do what a test says. */
+/** A core with a scripted routing module, a manual clock, and backends controlled by the test. */
 abstract class PoolerFixture implements Ports.Time, Ports.Backends<String, String> {
   private record Timer(double at, Runnable what) {}
 
   final PriorityQueue<Timer> timers =
       new PriorityQueue<>(java.util.Comparator.comparingDouble(Timer::at));
-  final List<String> heard = new ArrayList<>();
+  final List<String> moduleEvents = new ArrayList<>();
   final List<FinalAnswer<String>> answers = new ArrayList<>();
   final Counters counters = new Counters();
   Ports.AttemptListener<String> listener;
   Consumer<AttemptEnd<String>> end;
-  AttemptProgress reach = AttemptProgress.WHOLLY_WRITTEN;
-  double heardPosition;
+  AttemptProgress progress = AttemptProgress.WHOLLY_WRITTEN;
+  double lastPosition;
   Runnable beforeWrite = () -> {};
-  boolean depth;
+  boolean insideModule;
   double now = 1000;
-  double step; // what each look at the clock takes
+  double clockStep; // advance of the clock (ms) on each reading
   double deadline;
 
-  /** Sends each request once to m, again after a miss, and fails it after anything else. */
+  /** Sends each request once to m, again after a miss, and fails it after any other outcome. */
   class Scripted implements Router {
     private final Actions actions;
 
@@ -43,14 +43,14 @@
     }
 
     private void enter(String what) {
-      assertThat(depth).as("the module called inside its own call").isFalse();
-      heard.add(what);
+      assertThat(insideModule).as("the module called inside its own call").isFalse();
+      moduleEvents.add(what);
     }
 
     private void act(Runnable what) {
-      depth = true;
+      insideModule = true;
       what.run();
-      depth = false;
+      insideModule = false;
     }
 
     @Override
@@ -70,7 +70,7 @@
 
     @Override
     public void onOutcome(double now, Outcome o) {
-      heardPosition = o.position();
+      lastPosition = o.position();
       enter(o.status() + (o.over() ? " over" : ""));
       if (!o.over()) {
         act(
@@ -112,7 +112,7 @@
 
   @Override
   public double now() {
-    return now += step;
+    return now += clockStep;
   }
 
   @Override
@@ -134,20 +134,20 @@
     if (query.equals("inline")) {
       end.accept(new AttemptEnd.Served<>("now", AttemptEnd.MemberState.NONE));
     }
-    return () -> reach;
+    return () -> progress;
   }
 
   @Override
   public Ports.Call probe(String member, Consumer<AttemptEnd<String>> whenOver) {
-    return () -> reach;
+    return () -> progress;
   }
 
-  String take(String query) {
+  String submit(String query) {
     return pooler.submit(
         new Ports.ClientRequest<>(4, now + 500, "s", Double.NaN, 1, query), answers::add);
   }
 
-  void at(double ms) {
+  void runUntil(double ms) {
     while (!timers.isEmpty() && timers.peek().at() <= 1000 + ms) {
       Timer t = timers.poll();
       now = Math.max(now, t.at());
--- a/src/test/java/crankspar/core/PoolerTest.java
+++ b/src/test/java/crankspar/core/PoolerTest.java
@@ -6,45 +6,45 @@
 import java.util.ArrayList;
 import org.junit.jupiter.api.Test;
 
-/** The core by itself: a scripted module, a clock by hand, attempts that end when the test says. */
+/** The core with a scripted routing module and a manual clock; the test ends the attempts. */
 class PoolerTest extends PoolerFixture {
   /**
-   * Guards against re-entry: an end may come inside the send that the module has just asked for.
+   * Guards against re-entry: an attempt may end within the send that the module has just requested.
    */
   @Test
   void anEndInsideItsOwnSendIsHeardAfterTheCall() {
-    take("inline");
-    assertThat(heard).containsExactly("request", "OK over");
+    submit("inline");
+    assertThat(moduleEvents).containsExactly("request", "OK over");
     assertThat(answers)
         .containsExactly(new FinalAnswer.Served<>("now", AttemptEnd.MemberState.NONE));
-    at(2000);
+    runUntil(2000);
     assertThat(answers).hasSize(1);
     assertThat(pooler.unansweredCount()).isZero();
   }
 
   @Test
   void timeOutsAreToldByWhatWasWritten() {
-    take("q");
-    at(500);
-    assertThat(heard).containsExactly("request", "TIMEOUT");
+    submit("q");
+    runUntil(500);
+    assertThat(moduleEvents).containsExactly("request", "TIMEOUT");
     assertThat(answers).containsExactly(new FinalAnswer.Failed<>(true, "given up"));
-    heard.clear();
+    moduleEvents.clear();
     answers.clear();
-    reach = AttemptProgress.NOT_CONNECTED;
-    take("q");
-    at(1000);
-    assertThat(heard).containsExactly("request", "MOOT");
+    progress = AttemptProgress.NOT_CONNECTED;
+    submit("q");
+    runUntil(1000);
+    assertThat(moduleEvents).containsExactly("request", "MOOT");
     assertThat(answers).containsExactly(new FinalAnswer.Failed<>(false, "given up"));
   }
 
   @Test
   void aLateEndAfterTheClientLeftBringsNoAnswerAndNoSecondOutcome() {
-    String id = take("q");
+    String id = submit("q");
     end.accept(new AttemptEnd.Missed<>(AttemptEnd.MemberState.NONE));
     pooler.clientLeft(id);
     end.accept(new AttemptEnd.Served<>("late", AttemptEnd.MemberState.NONE));
-    assertThat(heard).containsExactly("request", "MISS", "gone", "CANCELLED over");
-    at(2000);
+    assertThat(moduleEvents).containsExactly("request", "MISS", "gone", "CANCELLED over");
+    runUntil(2000);
     assertThat(answers).isEmpty();
     assertThat(pooler.unansweredCount()).isZero();
   }
@@ -52,10 +52,11 @@
   @Test
   void brokenAttemptsAreToldByHowFarTheyHadCome() {
     for (AttemptProgress r : AttemptProgress.values()) {
-      heard.clear();
-      take("q");
+      moduleEvents.clear();
+      submit("q");
       end.accept(new AttemptEnd.Broken<>(r, "test"));
-      assertThat(heard).containsExactly("request", r.mayHaveRun() ? "RESET" : "CONNECT_FAILED");
+      assertThat(moduleEvents)
+          .containsExactly("request", r.mayHaveRun() ? "RESET" : "CONNECT_FAILED");
     }
     assertThat(answers)
         .extracting(a -> ((FinalAnswer.Failed<String>) a).mayHaveRun())
@@ -63,8 +64,8 @@
   }
 
   /**
-   * Guards against a cancel that is read by the look before its own request's write, and finds no
-   * request to cancel.
+   * Guards against a cancel that is read by the check before its own request is written, and finds
+   * no request to cancel.
    */
   @Test
   void aCancelWithinTheSendOfItsRequestKeepsItFromBeingWritten() {
@@ -84,38 +85,42 @@
           }
         });
     assertThat(listener.stillWanted()).isFalse();
-    assertThat(heard).containsExactly("request", "gone", "CANCELLED over");
+    assertThat(moduleEvents).containsExactly("request", "gone", "CANCELLED over");
     assertThat(answers).containsExactly(new FinalAnswer.Failed<>(false, "canceled by its client"));
   }
 
   /**
-   * Guards against a process that stands still on the way, and told its database that time on top
-   * of what is left.
+   * Guards against a deadline that is extended by a stall of the process on the way to the
+   * database.
    */
   @Test
   void theDeadlineIsTheClientsThoughTimePassesOnTheWay() {
-    step = 40;
-    take("q");
+    clockStep = 40;
+    submit("q");
     assertThat(deadline).isEqualTo(1500);
   }
 
-  /** Guards against a position to come: believed once, it would pass its member for good. */
+  /**
+   * Guards against a position in the future: accepted once, its member would pass the staleness
+   * check from then on.
+   */
   @Test
   void aPositionAheadOfTheClockIsNoNews() {
     for (double position : new double[] {now + 5000, 1e300, Double.POSITIVE_INFINITY, -1}) {
-      take("q");
+      submit("q");
       end.accept(
           new AttemptEnd.Served<>("a", new AttemptEnd.MemberState(Router.Role.REPLICA, position)));
-      assertThat(heardPosition).as("" + position).isNaN();
+      assertThat(lastPosition).as("" + position).isNaN();
     }
-    take("q");
+    submit("q");
     end.accept(
         new AttemptEnd.Served<>("a", new AttemptEnd.MemberState(Router.Role.REPLICA, now - 5)));
-    assertThat(heardPosition).isEqualTo(now - 5);
+    assertThat(lastPosition).isEqualTo(now - 5);
   }
 
   /**
-   * Guards against a cut-off, a retry or a second answer once the first bytes are with the client.
+   * Guards against a timeout, a retry or a second answer once the client has received the first
+   * bytes.
    */
   @Test
   void anAnswerThatHasBegunHasNoTimeOutAndItsBreakIsItsEnd() {
@@ -135,43 +140,49 @@
         });
     assertThat(listener.answerBegan("head")).isTrue();
     assertThat(begun).containsExactly("head");
-    at(5000);
-    assertThat(heard).as("a read is answered for the module").containsExactly("request", "OK over");
+    runUntil(5000);
+    assertThat(moduleEvents)
+        .as("the module has received the outcome of the read")
+        .containsExactly("request", "OK over");
     assertThat(answers).isEmpty();
     assertThat(pooler.unansweredCount()).isEqualTo(1);
     end.accept(new AttemptEnd.Broken<>(AttemptProgress.WHOLLY_WRITTEN, "test"));
     assertThat(answers).containsExactly(new FinalAnswer.Failed<>(true, "the answer broke off"));
-    assertThat(heard).hasSize(2);
+    assertThat(moduleEvents).hasSize(2);
     assertThat(pooler.stats().errors(3)).isEqualTo(1);
     assertThat(pooler.stats().attemptsWritten()).isEqualTo(1);
-    assertThat(listener.answerBegan("late")).as("nobody waits any more").isFalse();
+    assertThat(listener.answerBegan("late")).as("the request is already answered").isFalse();
   }
 
-  /** Guards against an end by the kill: what a handover cannot wait for is answered before it. */
+  /**
+   * Guards against a process that is killed with requests unanswered: requests that a handover
+   * cannot wait for are answered before it.
+   */
   @Test
   void givingUpAnswersAllThatIsOwedOnce() {
-    take("q");
-    take("q");
+    submit("q");
+    submit("q");
     pooler.failUnanswered(0);
     assertThat(answers).hasSize(2).allMatch(a -> a instanceof FinalAnswer.Failed<String>);
     assertThat(pooler.unansweredCount()).isZero();
-    at(2000);
+    runUntil(2000);
     assertThat(answers).hasSize(2);
   }
 
   /**
-   * Guards against a restart that loses what came late: its answer is due before the process ends.
+   * Guards against a restart that loses late requests: they must be answered before the process
+   * ends.
    */
   @Test
   void whatIsTakenDuringAStopIsAnsweredByItsEnd() {
     pooler.setShutdownDeadline(now + 200);
-    take("q");
-    at(199);
+    submit("q");
+    runUntil(199);
     assertThat(answers).isEmpty();
-    at(200);
+    runUntil(200);
     assertThat(answers).containsExactly(new FinalAnswer.Failed<>(true, "given up"));
-    take("q");
-    at(201);
+    submit("q");
+    runUntil(201);
     assertThat(answers).hasSize(2);
   }
 }
--- a/src/test/java/crankspar/core/SecondCopyTest.java
+++ b/src/test/java/crankspar/core/SecondCopyTest.java
@@ -12,13 +12,16 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Two copies of one request are out: which of them answers, and what becomes of the other. */
+/** Hedged requests: which of two attempts in flight answers, and what happens to the other. */
 class SecondCopyTest extends PoolerFixture {
-  /** Sends each request to m, and once more to n when the test says; the first answer ends it. */
+  /**
+   * Sends each request to m, and once more to n on the test's demand; the first answer cancels the
+   * other attempt.
+   */
   private final class Copying {
     final List<Ports.AttemptListener<String>> sent = new ArrayList<>();
     final List<String> abandoned = new ArrayList<>();
-    final List<String> told = new ArrayList<>();
+    final List<String> outcomes = new ArrayList<>();
     Router.Actions actions;
     String id;
 
@@ -78,7 +81,7 @@
 
             @Override
             public Ports.Call probe(String member, Consumer<AttemptEnd<String>> end) {
-              return () -> reach;
+              return () -> progress;
             }
           },
           on -> {},
@@ -94,7 +97,7 @@
 
               @Override
               public void onOutcome(double now, Outcome o) {
-                told.add(o.member() + " " + o.status() + (o.over() ? " over" : ""));
+                outcomes.add(o.member() + " " + o.status() + (o.over() ? " over" : ""));
                 if (o.over() && o.status() == Status.OK) {
                   actions.cancel(o.request(), 1 - o.number());
                 }
@@ -104,44 +107,45 @@
     }
   }
 
-  private void ask(Pooler<String, String> of) {
+  private void submit(Pooler<String, String> of) {
     of.submit(new Ports.ClientRequest<>(0, now + 500, "s", Double.NaN, 1, "q"), answers::add);
   }
 
   /**
-   * Guards against a second copy that the settings allow and the core swallowed: the read waited
-   * for the silent one to its end.
+   * Guards against a hedged attempt that the settings allow and the core drops: the read then
+   * waited for the silent member until its deadline.
    */
   @Test
   void aSecondCopyGoesOutWhereTheSettingsAllowItAndTheFirstAnswerCounts() {
     var c = new Copying();
     Pooler<String, String> of = c.pooler(true);
-    ask(of);
+    submit(of);
     c.actions.send(c.id, "n", 0);
     c.actions.send(c.id, "o", 0);
     assertThat(c.sent).hasSize(2);
-    assertThat(c.told).containsExactly("o MOOT");
+    assertThat(c.outcomes).containsExactly("o MOOT");
     c.sent.get(1).ended(new AttemptEnd.Served<>("mine", AttemptEnd.MemberState.NONE));
     assertThat(answers)
         .containsExactly(new FinalAnswer.Served<>("mine", AttemptEnd.MemberState.NONE));
-    assertThat(c.told).containsExactly("o MOOT", "n OK over", "m CANCELLED over");
+    assertThat(c.outcomes).containsExactly("o MOOT", "n OK over", "m CANCELLED over");
     assertThat(c.abandoned).containsExactly("m");
     c.sent.get(0).ended(new AttemptEnd.Served<>("late", AttemptEnd.MemberState.NONE));
-    at(2000);
+    runUntil(2000);
     assertThat(answers).hasSize(1);
   }
 
   @Test
   void noCopyGoesOutWhereTheSettingsDoNotAllowIt() {
     var c = new Copying();
-    ask(c.pooler(false));
+    submit(c.pooler(false));
     c.actions.send(c.id, "n", 0);
     assertThat(c.sent).hasSize(1);
-    assertThat(c.told).containsExactly("n MOOT");
+    assertThat(c.outcomes).containsExactly("n MOOT");
   }
 
   /**
-   * An answer that has begun is its client's: the other copy's neither ends it nor gets between.
+   * An answer that has begun belongs to its client: the other attempt's answer neither ends it nor
+   * is mixed into it.
    */
   @Test
   void ofTwoCopiesOnlyTheOneThatBeganAnswers() {
