--- a/src/main/java/crankspar/net/Addresses.java
+++ b/src/main/java/crankspar/net/Addresses.java
@@ -4,11 +4,14 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads {@code host:port} without ever asking DNS, which the platform has not. */
+/**
+ * Parses {@code host:port} with a literal IP address. DNS is never queried, as the platform has
+ * none.
+ */
 public final class Addresses {
   private Addresses() {}
 
-  /** The address; an IllegalArgumentException says what is wrong with it. */
+  /** Returns the address; the message of an IllegalArgumentException says what is wrong. */
   public static InetSocketAddress parse(String text) {
     int colon = text == null ? -1 : text.lastIndexOf(':');
     if (colon <= 0) {
--- a/src/main/java/crankspar/net/ArrivalTime.java
+++ b/src/main/java/crankspar/net/ArrivalTime.java
@@ -1,15 +1,15 @@
 package crankspar.net;
 
 /**
- * The earliest moment at which what is read from one socket may have come: the last time that the
- * socket was known to hold nothing. Guards against a late process that takes what waited for it for
- * something that has just come. It knows no clock: times are milliseconds on the loop's.
+ * Tracks the earliest time at which data read from one socket may have arrived: the last time that
+ * the socket was known to be empty. Otherwise a late process would treat data that waited in the
+ * socket as newly arrived. Has no clock of its own: times are milliseconds of the loop's clock.
  */
 final class ArrivalTime {
   private double emptyAt;
   private boolean mayHoldMore = true;
 
-  /** Nothing had come before {@code emptyAt}; since then something may have. */
+  /** Nothing had arrived before {@code emptyAt}; something may have arrived since then. */
   ArrivalTime(double emptyAt) {
     this.emptyAt = emptyAt;
   }
@@ -20,13 +20,16 @@
     mayHoldMore = false;
   }
 
-  /** The socket may hold something that is not read now and had come since the poll before. */
+  /** The socket may hold unread data that had arrived since the previous poll. */
   void leftUnread(double previousPoll) {
     emptyAt = earliest(previousPoll);
     mayHoldMore = true;
   }
 
-  /** A socket that was empty and not ready at the poll before this one held nothing then. */
+  /**
+   * The earliest arrival time of what is read now. A socket that was empty and not ready at the
+   * previous poll held nothing at that time.
+   */
   double earliest(double previousPoll) {
     return mayHoldMore ? emptyAt : Math.max(emptyAt, previousPoll);
   }
--- a/src/main/java/crankspar/net/ClientConnectionHandler.java
+++ b/src/main/java/crankspar/net/ClientConnectionHandler.java
@@ -1,48 +1,57 @@
 package crankspar.net;
 
-/** A client's connection handler, as {@link Clients} sees it. */
+/** The handler of a client connection, as seen by {@link Clients}. */
 public interface ClientConnectionHandler extends ConnectionHandler {
-  /** What a connection is doing; the earlier ones are the first to go when there is no room. */
+  /**
+   * What a connection is doing. When there is no room, connections in the states listed first are
+   * closed first.
+   */
   enum Standing {
-    /** Ended from this side, and still read for a moment. */
+    /** Closed from this side, and still read briefly. */
     LEAVING,
-    /** Nothing whole has come. */
+    /** No complete message has arrived. */
     NEW,
-    /** Greeted, and it has asked for nothing yet. */
+    /** The greeting has been exchanged, and no request has arrived. */
     STARTED,
     /** Between two requests. */
     IDLE,
-    /** A part of a message has come. */
+    /** Part of a message has arrived. */
     HALF,
-    /** An answer is owed. */
+    /** A request is waiting for its answer. */
     BUSY
   }
 
   Standing standing();
 
-  /** Whether a byte of what is not whole yet has come: it may be slow rather than silent. */
+  /**
+   * Whether part of an incomplete message has arrived: the client may be slow rather than silent.
+   */
   boolean begun();
 
-  /** Counts whole messages, so that a standing that lasts is told from one that comes again. */
+  /**
+   * The number of complete messages so far, which distinguishes a state that lasts from one that
+   * recurs.
+   */
   long progress();
 
   /**
-   * Whether an answer has been written that its client has not taken whole: a close would lose it.
+   * Whether an answer has been written that the client has not received completely; closing the
+   * connection would lose it.
    */
   boolean unsent();
 
-  /** Takes in what has come by now, before it is judged by what it has sent. */
+  /** Reads what has arrived so far, before the connection is judged by what it has sent. */
   void readNow();
 
-  /** Tells the client why it is ended, in the words of its protocol, and ends it. */
+  /** Tells the client the reason in its protocol, and closes the connection. */
   void turnAway(String why);
 
   /**
-   * Ends it gently if it is between two requests: what crosses this its client sends once more
-   * elsewhere.
+   * Closes the connection gracefully if it is between two requests; a request that the client sends
+   * at the same time is resent by the client elsewhere.
    */
   void closeIfIdle();
 
-  /** Ends it at once, without a word. */
+  /** Closes the connection at once without notifying the client. */
   void drop();
 }
--- a/src/main/java/crankspar/net/Connection.java
+++ b/src/main/java/crankspar/net/Connection.java
@@ -2,11 +2,11 @@
 
 import java.util.function.BooleanSupplier;
 
-/** What a {@link ConnectionHandler} may do with its connection; on the loop only. */
+/** The operations of a {@link ConnectionHandler} on its connection. Confined to the event loop. */
 public interface Connection {
   /**
-   * Queues bytes; {@code written}, which may be null, runs once the system has taken the last of
-   * them, within this call or later.
+   * Queues bytes for sending. {@code written}, which may be null, runs once the operating system
+   * has accepted the last of them, within this call or later.
    */
   void write(byte[] bytes, int length, Runnable written);
 
@@ -15,9 +15,8 @@
   }
 
   /**
-   * As {@link #write}, if {@code current} is still true right before the system is asked to take
-   * the bytes; false where it was not, and nothing has been written then. For a connection that has
-   * nothing queued.
+   * Like {@link #write}, if {@code current} is still true right before the system call. Otherwise
+   * returns false, and nothing has been written. For a connection that has nothing queued.
    */
   default boolean writeIf(BooleanSupplier current, byte[] bytes, Runnable written) {
     if (!current.getAsBoolean()) {
@@ -27,35 +26,38 @@
     return true;
   }
 
-  /** Whether something that was written has not left yet. */
+  /** Whether some written bytes have not been sent yet. */
   default boolean unsent() {
     return false;
   }
 
-  /** Whether the peer is read: not while what it sends has nowhere to go. */
+  /**
+   * Turns reading from the peer on or off; it is off while what the peer sends cannot be passed on
+   * (backpressure).
+   */
   default void reading(boolean on) {}
 
   /**
-   * Takes in what has come by now, ends included, before something is decided for the peer. The
-   * handler hears of it within this call.
+   * Reads what has arrived so far, including a close, before a decision is made for the peer. The
+   * handler is called within this call.
    */
   default void readNow() {}
 
   /**
-   * The earliest moment (ms, on the loop's clock) at which the bytes that are being handed over may
-   * have come; infinite where that is not known to be before now.
+   * The earliest time (ms of the loop's clock) at which the bytes being delivered may have arrived;
+   * infinity if that is not known to be before now.
    */
   default double earliestArrival() {
     return Double.POSITIVE_INFINITY;
   }
 
-  /** Ends what is sent once all that is queued has left, and still reads for a moment. */
+  /** Closes the sending side once everything queued has been sent, and still reads briefly. */
   void finish();
 
-  /** Ends the connection at once; the handler hears no more. */
+  /** Closes the connection at once; no further events reach the handler. */
   void close();
 
-  /** As {@link #close}, and the peer is told by a reset instead of an end. */
+  /** Like {@link #close}, but the peer receives a TCP reset instead of an orderly close. */
   default void reset() {
     close();
   }
--- a/src/main/java/crankspar/net/ConnectionHandler.java
+++ b/src/main/java/crankspar/net/ConnectionHandler.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * A protocol's state for one connection: it is fed bytes and knows no socket but through {@link
- * Connection}. A handler of clients decodes what it is fed and leaves the work for a later task, as
- * the client's end may stand right behind it.
+ * The protocol state of one connection. It receives bytes and accesses the socket only through
+ * {@link Connection}. A handler of clients only decodes what it receives and leaves the work to a
+ * later task, as the client's close may follow immediately.
  */
 public interface ConnectionHandler {
   /** Ignores everything. */
@@ -25,22 +25,27 @@
 
   void opened(Connection connection);
 
-  /** Takes all the bytes. */
+  /** Consumes all bytes of {@code in}. */
   void received(ByteBuffer in);
 
   /**
-   * The peer has said that it sends no more, before {@link #ended}: an answer without a length ends
-   * with this, never with a break.
+   * The peer has closed its sending side; called before {@link #ended}. An answer without a length
+   * is completed by this, never by a broken connection.
    */
   default void finished() {}
 
-  /** The peer or the network ended it, or it never came up: told once, never after an own close. */
+  /**
+   * The peer or the network closed the connection, or it could not be established. Called once, and
+   * never after a close from this side.
+   */
   void ended(String why);
 
-  /** The connection is closed, whoever closed it: told once, and last. */
+  /** The connection is closed, from either side. Called once, as the last event. */
   default void closed() {}
 
-  /** Whether it brings news of what has changed, to be heard before anything else. */
+  /**
+   * Whether the connection carries change notifications, which are handled before anything else.
+   */
   default boolean urgent() {
     return false;
   }
--- a/src/main/java/crankspar/net/DatagramPort.java
+++ b/src/main/java/crankspar/net/DatagramPort.java
@@ -8,16 +8,20 @@
 import java.util.logging.Logger;
 
 /**
- * A UDP port on the loop: what has come is news, heard before any work. Sending never waits: what
- * the system has no room for is lost, as any datagram may be.
+ * A UDP port on the event loop. Received datagrams are notifications and are handled before any
+ * work. Sending never blocks: a datagram for which the system has no buffer space is lost, as any
+ * datagram may be.
  */
 public final class DatagramPort implements AutoCloseable, Pollable {
   private static final Logger LOG = Logger.getLogger(DatagramPort.class.getName());
 
-  /** Datagrams that one poll takes in; the system keeps or drops what is beyond. */
+  /**
+   * Maximum number of datagrams received in one poll; further ones are queued or dropped by the
+   * system.
+   */
   private static final int RECEIVES_MOST = 256;
 
-  /** Hears each datagram on the loop. */
+  /** Receives each datagram on the event loop. */
   public interface Receiver {
     void received(InetSocketAddress from, byte[] bytes);
   }
@@ -26,7 +30,7 @@
   private final Receiver receiver;
   private final ByteBuffer buffer;
 
-  /** Listens at once; datagrams longer than {@code most} bytes are cut. */
+  /** Starts to listen; datagrams longer than {@code most} bytes are truncated. */
   public DatagramPort(EventLoop loop, InetSocketAddress listen, int most, Receiver receiver)
       throws IOException {
     this.receiver = receiver;
@@ -76,7 +80,7 @@
     }
   }
 
-  /** Whether the system has taken it. */
+  /** Sends a datagram; returns whether the operating system accepted it. */
   public boolean send(InetSocketAddress to, byte[] bytes) {
     try {
       return channel.send(ByteBuffer.wrap(bytes), to) > 0;
--- a/src/main/java/crankspar/net/LoopLag.java
+++ b/src/main/java/crankspar/net/LoopLag.java
@@ -1,8 +1,9 @@
 package crankspar.net;
 
 /**
- * How late the loop runs what is due, as a figure for operators: the most since the start and the
- * most of the last ten to twenty seconds. It knows no clock: times are milliseconds on the loop's.
+ * Measures how late the loop runs tasks that are due, for operators: the maximum since the start
+ * and that of the last ten to twenty seconds. Has no clock of its own: times are milliseconds of
+ * the loop's clock.
  */
 final class LoopLag {
   /** The length of one of the two windows (ms). */
@@ -13,7 +14,7 @@
   private double previous;
   private double most;
 
-  /** A task that was due at {@code due} begins. */
+  /** A task that was due at {@code due} starts. */
   void began(double due, double now) {
     roll(now);
     double late = Math.max(0, now - due);
@@ -30,13 +31,13 @@
     windowBegan = now;
   }
 
-  /** The most of the present and the previous window (ms). */
+  /** The maximum of the current and the previous window (ms). */
   double recent(double now) {
     roll(now);
     return Math.max(present, previous);
   }
 
-  /** The most since the start (ms). */
+  /** The maximum since the start (ms). */
   double most() {
     return most;
   }
--- a/src/main/java/crankspar/net/MemberAddresses.java
+++ b/src/main/java/crankspar/net/MemberAddresses.java
@@ -2,11 +2,14 @@
 
 import java.net.InetSocketAddress;
 
-/** Holds connections to members; discovery's list says where they listen. */
+/** A component that holds connections to members, whose addresses come from discovery's list. */
 public interface MemberAddresses {
-  /** Where a member listens; a new address makes its old connections useless. */
+  /** Sets a member's address; a new address makes its old connections useless. */
   void locate(String id, InetSocketAddress address);
 
-  /** A member that drains or is gone: nothing new goes there, and idle connections are closed. */
+  /**
+   * A member drains or has been removed: no new work is sent to it, and its idle connections are
+   * closed.
+   */
   void forget(String id);
 }
--- a/src/main/java/crankspar/net/Pollable.java
+++ b/src/main/java/crankspar/net/Pollable.java
@@ -4,9 +4,9 @@
 interface Pollable {
   ReadinessPhase phase();
 
-  /** The channel is ready for something that it waits for. */
+  /** The channel is ready for an operation that it is registered for. */
   void ready();
 
-  /** The channel is ready and is not served in this poll. */
+  /** The channel is ready but not served in this poll. */
   default void passedOver() {}
 }
--- a/src/main/java/crankspar/net/PooledMember.java
+++ b/src/main/java/crankspar/net/PooledMember.java
@@ -5,20 +5,20 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What a pool holds of one server. */
+/** The state that a pool keeps for one server. */
 final class PooledMember<Q, A> {
   InetSocketAddress address;
 
-  /** Since when it drains or is gone (ms); infinite while it takes work. */
+  /** Since when the member drains or is removed (ms); infinity while it accepts work. */
   double goneAt = Double.POSITIVE_INFINITY;
 
-  /** Connections that rest, the one used last first. */
+  /** Idle connections, most recently used first. */
   final ArrayDeque<PooledConnection<Q, A>> idle = new ArrayDeque<>();
 
-  /** Connections that are coming up, each for a request that is not written yet. */
+  /** Connections being established, each for a request that is not written yet. */
   final Set<PooledConnection<Q, A>> dialled = new HashSet<>();
 
-  /** Whether new work may reach it at {@code now}. */
+  /** Whether new work may be sent to the member at {@code now}. */
   boolean takesWork(double now) {
     return goneAt > now;
   }
--- a/src/main/java/crankspar/net/ServerConnectionHandler.java
+++ b/src/main/java/crankspar/net/ServerConnectionHandler.java
@@ -5,15 +5,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A protocol state machine for one connection to a server, which carries one request at a time. Its
- * end is told exactly once; a connection that breaks while it carries nothing just ends.
+ * A protocol state machine for one connection to a server, which carries one request at a time. The
+ * end of a request is reported exactly once; a connection that breaks while idle just ends.
  */
 public interface ServerConnectionHandler<Q, A> extends ConnectionHandler {
-  /**
-   * What its pool is notified of: that a request may be carried, and that the connection is gone.
-   */
+  /** Receives the notifications that a request may be carried and that the connection is gone. */
   interface Owner {
-    /** It is welcomed or, after a request, settled. */
+    /** The handshake is complete or, after a request, {@link #settle} is. */
     void ready();
 
     void gone(String why);
@@ -21,26 +19,29 @@
 
   void owner(Owner owner);
 
-  /** The request as it will be written, for a server that is to answer within {@code left} ms. */
+  /** Encodes the request for a server that is to answer within {@code left} ms. */
   byte[] encode(Q query, double left);
 
   /**
-   * Writes the request as it was encoded; called only when ready and idle. Encoding is a step of
-   * its own so that nothing but the write stands behind the last check. False where {@code current}
-   * was no longer true right before the write: nothing was written, and it is ready and idle still.
+   * Writes the encoded request; called only when ready and idle. Encoding is a separate step so
+   * that only the write follows the last check. Returns false if {@code current} was no longer true
+   * right before the write: nothing was written, and the connection is still ready and idle.
    */
   boolean carry(
       Q query, byte[] encoded, BooleanSupplier current, Ports.AttemptListener<A> listener);
 
-  /** How far the request at hand has come. */
+  /** How far the current request has come. */
   AttemptProgress reach();
 
-  /** Whether the request before was answered whole, and another may follow on this connection. */
+  /**
+   * Whether the previous request was answered completely, and another may follow on this
+   * connection.
+   */
   boolean reusable();
 
   /**
-   * Makes sure that nothing of the answer before is still to come, then says that it is ready.
-   * Guards against a second copy of an answer, which would pass for the next request's.
+   * Verifies that nothing more of the previous answer is to come, then reports that it is ready.
+   * Otherwise a duplicate of an answer would be taken for the answer to the next request.
    */
   void settle();
 }
--- a/src/main/java/crankspar/net/SocketPoller.java
+++ b/src/main/java/crankspar/net/SocketPoller.java
@@ -11,9 +11,9 @@
 import java.util.logging.Logger;
 
 /**
- * The sockets of one {@link EventLoop}: finds those that are ready and serves them, {@link
- * ReadinessPhase} by phase. It decides nothing but that order. All but {@link #wakeUp} is for the
- * loop's thread.
+ * The sockets of one {@link EventLoop}: finds those that are ready and serves them in the order of
+ * {@link ReadinessPhase}, the only thing that it decides. All methods but {@link #wakeUp} are for
+ * the loop's thread.
  */
 final class SocketPoller implements AutoCloseable {
   private static final Logger LOG = Logger.getLogger(SocketPoller.class.getName());
@@ -21,8 +21,9 @@
   private static final Set<ReadinessPhase> ALL = EnumSet.allOf(ReadinessPhase.class);
 
   /**
-   * What may be taken in while something is being decided: it changes no answer that is at hand.
-   * New connections are among it, as one may bring the cancel of a request that is read here too.
+   * The phases that may be served while a decision is in progress, because they change no answer
+   * being processed. New connections are included, as one may bring the cancel of a request that is
+   * read here too.
    */
   private static final Set<ReadinessPhase> BEFORE_A_WRITE =
       EnumSet.of(ReadinessPhase.NEWS, ReadinessPhase.CLIENTS, ReadinessPhase.ACCEPTS);
@@ -36,7 +37,8 @@
   private double lastLook;
 
   /**
-   * {@code clock} tells the loop's time (ms); {@code postedNews} runs what comes before sockets.
+   * {@code clock} returns the loop's time (ms); {@code postedNews} runs the posted notifications
+   * that come before sockets.
    */
   SocketPoller(DoubleSupplier clock, Runnable postedNews) throws IOException {
     this.clock = clock;
@@ -52,12 +54,12 @@
     return channel.register(selector, interest, pollable);
   }
 
-  /** Waits until a socket is ready, {@link #wakeUp} is called or so many ms are over. */
+  /** Waits until a socket is ready, {@link #wakeUp} is called or {@code ms} have passed. */
   void await(double ms) throws IOException {
     selector.select((long) Math.ceil(ms));
   }
 
-  /** Ends the present wait, or the next one; from any thread. */
+  /** Ends the current wait, or the next one; may be called from any thread. */
   void wakeUp() {
     synchronized (wakeUpLock) { // the selector may be closed by now
       if (selector.isOpen()) {
@@ -67,8 +69,8 @@
   }
 
   /**
-   * Takes in what the sockets hold now. What is ready had come since {@link #previousPoll}, as the
-   * poll then would have found it.
+   * Serves everything the sockets hold now. Data that is ready had arrived since {@link
+   * #previousPoll}, as the poll at that time would otherwise have found it.
    */
   void poll() throws IOException {
     previousPoll = lastPoll;
@@ -76,17 +78,19 @@
     take(ALL);
   }
 
-  /** Takes in what may be known while something is being decided. */
+  /** Serves the phases that may be served while a decision is in progress. */
   void lookBeforeWrite() throws IOException {
     take(BEFORE_A_WRITE);
   }
 
-  /** The time of the poll before the last one: what the last one found had come since then (ms). */
+  /**
+   * The time of the poll before the last one (ms): what the last one found had arrived since then.
+   */
   double previousPoll() {
     return previousPoll;
   }
 
-  /** When the sockets were last looked at, in part at least (ms). */
+  /** When the sockets, or some of them, were last polled (ms). */
   double lastLook() {
     return lastLook;
   }
@@ -115,7 +119,7 @@
     }
   }
 
-  /** Closes all sockets and ends the waits. */
+  /** Closes all sockets and ends any wait. */
   @Override
   public void close() {
     for (SelectionKey key : selector.keys()) {
--- a/src/main/java/crankspar/net/StallDetector.java
+++ b/src/main/java/crankspar/net/StallDetector.java
@@ -1,19 +1,22 @@
 package crankspar.net;
 
 /**
- * Whether the process stood still: stopped by a signal, by a long collection, by a machine that was
- * paused, or by one task that took as long. The loop reports each step that it has made; the time
- * between two of them is bounded unless the process stands still. It knows no clock: times are
- * milliseconds on the loop's. Steps come from one thread, questions from any.
+ * Detects stalls of the process: it was stopped by a signal, a long garbage collection or a paused
+ * machine, or one task took as long. The loop reports each step; the time between two steps is
+ * bounded unless the process stalls. Has no clock of its own: times are milliseconds of the loop's
+ * clock. Steps are reported by one thread; queries come from any.
  */
 final class StallDetector {
   /**
-   * Longer than this (ms) between two steps is a stall. The rules let new work reach a database for
-   * 250 ms after a drain was told; what stood still for less is in time.
+   * A longer time (ms) between two steps is a stall. The rules let new work reach a database for
+   * 250 ms after a drain was announced; a shorter stall stays within that.
    */
   static final double THRESHOLD = 200;
 
-  /** A signal that is handled so soon (ms) after a stall may have come at its beginning. */
+  /**
+   * A signal handled within this time (ms) after a stall may have arrived at the beginning of the
+   * stall.
+   */
   static final double AFTERMATH = 250;
 
   private volatile double lastStep = Double.NaN;
@@ -22,7 +25,7 @@
   private double stalledSoFar;
   private volatile double stalled;
 
-  /** A step has been made; how long the process stood still before it (ms), or nought. */
+  /** Reports a step; returns how long the process was stalled before it (ms), or 0. */
   double step(double now) {
     double since = now - lastStep;
     if (since > THRESHOLD) {
@@ -35,12 +38,12 @@
     return since > THRESHOLD ? since : 0;
   }
 
-  /** How long the process has stood still since its start, all stalls together (ms). */
+  /** The total duration of all stalls since the start (ms). */
   double stalled() {
     return stalled;
   }
 
-  /** The earliest time at which what is noticed now outside of the sockets may have happened. */
+  /** The earliest time at which an event noticed now outside of the sockets may have happened. */
   double earliest(double now) {
     if (now - lastStep > THRESHOLD) {
       return lastStep;
--- a/src/main/java/crankspar/net/StreamedValue.java
+++ b/src/main/java/crankspar/net/StreamedValue.java
@@ -1,12 +1,12 @@
 package crankspar.net;
 
 /**
- * A value too long to hold, on its way from a server's connection to a client's. While too much of
- * it waits for the client the server is not read, so that any number of them together stays within
- * what the places for clients allow. Guards against values that together are more than the heap.
+ * Streams a value that is too long to buffer from a server's connection to a client's. While too
+ * much of it waits for the client the server is not read (backpressure), so that any number of such
+ * values together stays within the memory bounds for clients instead of exceeding the heap.
  */
 public final class StreamedValue {
-  /** What may wait for the client: with one more read at most. */
+  /** Bytes that may wait for the client, plus one more read at most. */
   private static final int MOST = 64 * 1024;
 
   private final Connection source;
@@ -18,7 +18,7 @@
     this.source = source;
   }
 
-  /** Whoever the answer belongs to; said before the first part comes. */
+  /** Sets the client's connection; called before the first part arrives. */
   public void to(Connection sink) {
     this.sink = sink;
   }
--- a/src/main/java/crankspar/net/TaskQueue.java
+++ b/src/main/java/crankspar/net/TaskQueue.java
@@ -4,11 +4,11 @@
 import java.util.PriorityQueue;
 
 /**
- * What is to run and when, earliest due first and in the order of arrival among equals. It knows no
- * clock: times are milliseconds on the loop's. Costs O(log n) a task.
+ * Tasks ordered by due time, and by order of insertion if equal. Has no clock of its own: times are
+ * milliseconds of the loop's clock. O(log n) per task.
  */
 final class TaskQueue {
-  /** A task and when it is due. */
+  /** A task and its due time. */
   record Task(double due, Runnable action) {}
 
   private record Entry(Task task, long order) {}
@@ -22,12 +22,12 @@
     entries.add(new Entry(task, order++));
   }
 
-  /** The first task that is due, or null. */
+  /** Removes and returns the first task that is due, or null. */
   Task poll(double now) {
     return nextDue() <= now ? entries.poll().task() : null;
   }
 
-  /** When the first task is due; infinite where there is none. */
+  /** The due time of the first task; infinity if there is none. */
   double nextDue() {
     Entry first = entries.peek();
     return first == null ? Double.POSITIVE_INFINITY : first.task().due();
