--- a/src/main/java/crankspar/pooling/Answer.java
+++ b/src/main/java/crankspar/pooling/Answer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What a server gave, for the client as it is: whole, or the beginning of what its connection goes
- * on to give.
+ * A server's reply, passed on unchanged: either complete, or the beginning of a reply that the
+ * lease streams to the client.
  */
 record Answer(List<Frame> frames, Lease lease) {}
--- a/src/main/java/crankspar/pooling/Backpressure.java
+++ b/src/main/java/crankspar/pooling/Backpressure.java
@@ -3,18 +3,19 @@
 import java.util.function.Consumer;
 
 /**
- * Back-pressure in one direction: while more than a bound waits for one peer, the other is not
- * read. Guards against rows, or a copy, that together are more than the heap.
+ * Backpressure in one direction: while more than a bound waits to be written to one side, the other
+ * side is not read. Without it the rows of a large result, or the data of a COPY, could exceed the
+ * heap.
  */
 final class Backpressure {
-  /** What may wait, with one more read at most. */
+  /** The number of bytes that may wait; at most one more read may exceed it. */
   private static final int MAX_WAITING_BYTES = 64 * 1024;
 
   private final Consumer<Boolean> setReading;
   private int waitingBytes;
   private boolean paused;
 
-  /** {@code reading} has the source read, or not. */
+  /** {@code reading} turns reading from the source on or off. */
   Backpressure(Consumer<Boolean> reading) {
     this.setReading = reading;
   }
--- a/src/main/java/crankspar/pooling/BatchCollector.java
+++ b/src/main/java/crankspar/pooling/BatchCollector.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * What a client sends between transactions, up to what ends a batch or has the server speak: all of
- * that is one request's opening. What needs no server is answered here.
+ * Collects a client's messages between transactions, up to the first that ends a batch or makes the
+ * server reply (Sync, simple query, function call or Flush). They form the opening batch of one
+ * request. Messages that need no server are answered here.
  */
 final class BatchCollector {
   /**
-   * An opening batch of more bytes than this is not held: it goes on as it comes, to one member
-   * only.
+   * A larger opening batch is not collected whole: it is streamed to a single member and cannot be
+   * retried at another.
    */
   private static final int MAX_OPENING_BYTES = 64 * 1024;
 
@@ -37,7 +38,7 @@
     frames.clear();
   }
 
-  /** After an error: the rest of a batch that is not whole is passed over up to its Sync. */
+  /** After an error, skips the rest of an incomplete batch up to its Sync. */
   void skip(boolean on) {
     skipping = on;
   }
@@ -73,7 +74,7 @@
         }
         client.write(List.of(Frame.EMPTY_QUERY, Frame.ready('I')));
       }
-      case 'p' -> throw new Frame.Malformed("a password that nobody asked for");
+      case 'p' -> throw new Frame.Malformed("unexpected password message");
       default -> {
         return false;
       }
@@ -83,7 +84,7 @@
 
   private void open(List<Frame> opening, boolean whole) throws Frame.Malformed {
     if (client.takeCancel()) {
-      client.reject("57014", "canceled before it was taken", whole);
+      client.reject("57014", "canceled before it was started", whole);
       return;
     }
     var batch = BatchStatements.of(opening, client.session());
--- a/src/main/java/crankspar/pooling/BatchState.java
+++ b/src/main/java/crankspar/pooling/BatchState.java
@@ -1,51 +1,51 @@
 package crankspar.pooling;
 
 /**
- * Where a client and its server connection are in the order of the protocol: in a block, in a batch
- * without its Sync, behind an error, in a COPY. The two sides may differ, as a message may be
- * spared the server.
+ * The protocol state of a client and its server connection: in a block, in a batch without its
+ * Sync, skipping after an error, or in a COPY. The two sides may differ, because some messages are
+ * answered locally and never reach the server.
  */
 final class BatchState {
   private char status = 'I';
 
-  /** After a Sync or a simple query, up to ReadyForQuery. */
+  /** Set by a Sync or a simple query until its ReadyForQuery. */
   private boolean awaitsReady;
 
-  /** After an error, up to the client's Sync. */
+  /** Set by an error until the client's Sync; messages are skipped meanwhile. */
   private boolean skipping;
 
   private boolean copying;
 
-  /** A Sync went out behind what began the present COPY: the server ignores it. */
+  /** A Sync was sent right after the Execute of the running COPY; the server ignores it. */
   private boolean syncIgnored;
 
   /**
-   * A COPY failed that such a Sync stood behind: the server may have read it after the error, and
-   * answers it then.
+   * A COPY followed by such a Sync failed. If the server reads that Sync only after the error, it
+   * answers it.
    */
   private boolean syncUncertain;
 
-  /** Whether the end of a COPY's data went out in this batch before the COPY was known to begin. */
+  /** Whether this batch sent the end of a COPY's data before the server had started the COPY. */
   private boolean endOfDataSent;
 
-  /** Within a message of a COPY that comes in parts. */
+  /** Set while a COPY data message that arrives in parts is forwarded. */
   private boolean inParts;
 
-  /** Whether the client has begun a batch of the extended protocol and not sent its Sync. */
+  /** Whether the client has started an extended-protocol batch and not sent its Sync. */
   private boolean clientBatchOpen;
 
-  /** Whether the server has got a part of such a batch, and no Sync behind it. */
+  /** Whether the server has received part of such a batch but not its Sync. */
   private boolean serverBatchOpen;
 
-  /** Whether a statement has been executed in that batch. */
+  /** Whether that batch has sent an Execute to the server. */
   private boolean serverBatchExecuted;
 
-  /** As the server said last: I, T or E. */
+  /** The transaction status of the last ReadyForQuery: I, T or E. */
   char status() {
     return status;
   }
 
-  /** Whether the client's next messages must wait for the server to be ready. */
+  /** Whether the client's next messages must wait for ReadyForQuery. */
   boolean awaitingReady() {
     return awaitsReady && !copying;
   }
@@ -62,30 +62,30 @@
     return serverBatchOpen;
   }
 
-  /** Whether the server may answer a Sync that it was to ignore. */
+  /** Whether the server may answer a Sync that it was expected to ignore. */
   boolean syncUncertain() {
     return syncUncertain;
   }
 
-  /** Whether a statement has been executed in that batch: its Sync would commit it. */
+  /** Whether the open batch has sent an Execute, which its Sync would commit. */
   boolean serverBatchExecuted() {
     return serverBatchExecuted;
   }
 
   /**
-   * Whether a transaction is open: in a block, or in a batch without its Sync. The status that the
-   * server told last knows nothing of the latter.
+   * Whether a transaction is open: a block, or a batch without its Sync. The status of the last
+   * ReadyForQuery does not cover the latter.
    */
   boolean inTransaction() {
     return status != 'I' || clientBatchOpen || serverBatchOpen;
   }
 
-  /** After an error all up to the Sync is passed over, and within a COPY's data a Sync. */
+  /** Whether to drop a message: all up to the Sync after an error, and a Sync within COPY data. */
   boolean skips(Frame f) {
     return f.type() == 'S' ? copying : skipping;
   }
 
-  /** A message has come from the client. */
+  /** Records a message from the client. */
   void fromClient(Frame f) {
     clientBatchOpen = f.beginsBatch() || clientBatchOpen && !f.endsBatch();
     if (f.type() == 'S') {
@@ -93,7 +93,7 @@
     }
   }
 
-  /** A message goes to the server. */
+  /** Records a message to the server. */
   void toServer(Frame f) {
     serverBatchOpen = f.beginsBatch() || serverBatchOpen && !f.endsBatch();
     serverBatchExecuted = f.type() == 'E' || serverBatchExecuted && !f.endsBatch();
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Whether a message of a COPY's data goes on. Within a batch the COPY may have begun already; a
-   * server drops data that it has not asked for.
+   * Whether a COPY data message is forwarded. Within a batch the server may already have started
+   * the COPY; if not, it drops the data.
    */
   boolean forwardsData(Frame f) {
     boolean forwards = f.type() == Frame.PART ? inParts : copying || serverBatchOpen;
@@ -110,7 +110,7 @@
     return forwards;
   }
 
-  /** Whether the end of a COPY's data goes on. */
+  /** Whether the message that ends a COPY's data is forwarded; ends the COPY. */
   boolean forwardsEndOfData() {
     endOfDataSent = !copying && serverBatchOpen;
     boolean forwards = copying || serverBatchOpen;
@@ -118,12 +118,14 @@
     return forwards;
   }
 
-  /** Whether the data of a COPY that has just begun is all sent, with what stands behind it. */
+  /** Whether the COPY that just started has already been sent all its data and what follows. */
   boolean endOfDataSent() {
     return endOfDataSent;
   }
 
-  /** {@code syncBehind}: the batch goes on, as a Sync within a COPY's data is ignored. */
+  /**
+   * Starts a COPY; {@code syncBehind}: its Sync is ignored as COPY data, so the batch stays open.
+   */
   void copyStarted(boolean syncBehind) {
     copying = true;
     syncIgnored = syncBehind;
@@ -133,31 +135,31 @@
     }
   }
 
-  /** A statement is done, and with it a COPY: the server has read all that came before its end. */
+  /** Records a completed statement. A COPY has then read everything sent before its end. */
   void statementCompleted() {
     syncIgnored = false;
   }
 
-  /** An error has come: a COPY ends with it. */
+  /** Records an error, which ends a COPY. */
   void failed() {
     copying = false;
     syncUncertain |= syncIgnored;
     syncIgnored = false;
   }
 
-  /** A message was refused before it reached the server: the rest of its batch is passed over. */
+  /** Records a message the pooler rejected; the rest of its batch is skipped. */
   void messageRefused() {
     skipping = true;
   }
 
-  /** A refused simple query needs no Sync. */
+  /** Records a simple query the pooler rejected; unlike a batch, it needs no Sync. */
   void queryRefused() {
     skipping = false;
   }
 
   /**
-   * An error has come with no Sync behind it; the server passes over a simple query, too, so that
-   * no ReadyForQuery follows before the client's Sync.
+   * Records an error in a batch whose Sync was not yet sent. The server skips a simple query too,
+   * so no ReadyForQuery arrives before the client's Sync.
    */
   void failedBeforeSync() {
     skipping = true;
@@ -167,13 +169,13 @@
 
   void ready(char newStatus) throws Frame.Malformed {
     if (newStatus != 'I' && newStatus != 'T' && newStatus != 'E') {
-      throw new Frame.Malformed("ready in no known state");
+      throw new Frame.Malformed("ReadyForQuery with an unknown transaction status");
     }
     status = newStatus;
     awaitsReady = copying = syncIgnored = endOfDataSent = false;
   }
 
-  /** The batch is begun anew, or given up, or ended by a Sync that was to be ignored. */
+  /** Resets the batch: it is retried, abandoned, or ended by a Sync expected to be ignored. */
   void rewind() {
     clientBatchOpen = serverBatchOpen = serverBatchExecuted = false;
     skipping = awaitsReady = copying = inParts = endOfDataSent = false;
--- a/src/main/java/crankspar/pooling/Client.java
+++ b/src/main/java/crankspar/pooling/Client.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * A client's connection. It collects what opens a transaction, asks for it as one request, and passes on what follows
- * while it has a server's connection. Each command gets one answer, in order, or the connection ends cleanly.
+/** A client connection. It collects the messages that open a transaction, submits them as one request, and forwards what
+ * follows while it holds a server connection. Each command gets one answer, in order; otherwise the connection is closed
+ * with an error.
  */
 final class Client implements ConnectionHandler, Ports.Reply<Answer> {
     private static final int MAX_HELD_BYTES = 64 * 1024;
@@ -29,18 +29,18 @@
     private String user;
     private SessionState session;
     private final Login login;
-    /** What waits for its turn; its bytes count against all clients' bound. */
+    /** Frames received but not yet processed; their bytes count against the limit for all clients together. */
     private final FrameQueue held = new FrameQueue();
     private int accountedBytes;
     private final BatchCollector collector;
     private boolean processing, serverWritable = true, reading = true;
-    /** Null but for a client of the console. */
+    /** Set only for a client of the admin console, else null. */
     private ConsoleSession console;
     private OpeningBatch opening;
     private Lease lease;
     private Backpressure toClient;
     long ticket;
-    /** The core's name of its request, once it has one. */
+    /** The id that the core gave the current request, or null. */
     String request;
     private long transactions;
 
@@ -65,10 +65,10 @@
     OpeningBatch opening() { return opening; }
     Lease lease() { return lease; }
     long transactions() { return transactions; }
-    /** The earliest time at which its opening may have come, or at which it came to its turn (ms). */
+    /** The earliest time (ms) the opening batch may have arrived, or the start of the client's state if that is later. */
     double requestedAt() { return requestedAt; }
 
-    /** Its database as set up now; one that is no longer set up has no places. */
+    /** The client's database in the current configuration, or null if it was removed. */
     Setup.Database database() { return context.database(databaseName); }
 
     private void enter(ClientState next) {
@@ -106,7 +106,7 @@
         }
     }
 
-    // ---- Its start.
+    // ---- Login.
     void refuseEncryption() { connection.write(new byte[] {'N'}); }
 
     void identified(String user, String databaseName) {
@@ -129,7 +129,7 @@
         write(frames);
     }
 
-    /** Takes what has come, in order, as far as it may go on now. */
+    /** Processes the queued frames in order, until one has to wait. */
     private void processHeld() {
         if (processing) {
             return;
@@ -169,11 +169,11 @@
         int change = current - accountedBytes;
         accountedBytes = current;
         if (change != 0 && !context.reserveBytes(change)) {
-            fatal("53200", "no room for long messages now");
+            fatal("53200", "the memory limit for client messages is reached");
         }
     }
 
-    /** What has nowhere to go is not read; a whole message always fits. */
+    /** Stops reading from the client while too much is queued; the queue always has room for a whole message. */
     private void updateReading() {
         boolean wanted = held.bytes() <= MAX_HELD_BYTES && serverWritable;
         if (wanted != reading) {
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Its server takes more, or not now. */
+    /** Called when the server connection can take more data, or can take none for now. */
     void serverWritable(boolean on) {
         serverWritable = on;
         if (state != ClientState.LEAVING) {
@@ -193,7 +193,7 @@
         }
     }
 
-    /** Its server is ready for what comes next, or something has come. */
+    /** Called when the server is ready for the next batch, or when new frames have arrived. */
     void resume() {
         if (present()) {
             processHeld();
@@ -217,7 +217,7 @@
         }
     }
 
-    /** Whether a cancel came for what is opened now; it counts once. */
+    /** Whether a cancel request arrived for the batch being opened; a cancel applies only once. */
     boolean takeCancel() { return held.takeCancel(); }
 
     void submit(OpeningBatch opening) {
@@ -229,14 +229,14 @@
         context.submit(this, opening);
     }
 
-    /** It has its place, and the module has its request. */
+    /** Called when the client has its place and the core has its request. */
     void placeAssigned() {
         if (state == ClientState.WAITING) {
             enter(ClientState.ACTIVE);
         }
     }
 
-    /** An error between transactions: the rest of a batch that is not whole is passed over up to its Sync. */
+    /** Sends an error between transactions; the rest of an incomplete batch is skipped up to its Sync. */
     void reject(String code, String message, boolean whole) { reject(Frame.error("ERROR", code, message, null), whole); }
 
     private void reject(Frame error, boolean whole) {
@@ -245,7 +245,7 @@
     }
 
     // ---- The answer.
-    /** No place came free. */
+    /** Called when no place became free. */
     void placeRefused(String why) { answer(new FinalAnswer.Refused<>(0), why); }
 
     @Override public void began(Answer answer) {
@@ -261,7 +261,7 @@
         fromServer(answer.frames());
     }
 
-    /** What its server gives goes on as it comes. */
+    /** Passes on frames from the server as they arrive. */
     void fromServer(List<Frame> frames) {
         if (state == ClientState.LEAVING || frames.isEmpty()) {
             return;
@@ -293,11 +293,11 @@
         enter(ClientState.IDLE);
         if (answer instanceof FinalAnswer.Served<Answer> s) {
             transactions++;
-            collector.skip(!begun && !answered.whole); // it could not begin, and its Sync is still to come
+            collector.skip(!begun && !answered.whole); // the batch could not begin and its Sync is still to come
             write(s.answer().frames());
-        } else if (begun) { // no error but the last one tells its client that what follows is another transaction
+        } else if (begun) { // only a FATAL error tells the client that the next command starts a new transaction
             context.count(answered.outcome == Progress.Outcome.UNKNOWN ? "pooling_unknown" : "pooling_broken");
-            end(LostConnection.error("FATAL", answered.outcome, "in the midst of a transaction"));
+            end(LostConnection.error("FATAL", answered.outcome, "during a transaction"));
             return;
         } else if (answer instanceof FinalAnswer.Refused<Answer> r) {
             context.count("pooling_refused");
@@ -315,17 +315,16 @@
         }
     }
 
-    // ---- Cancel, and ends.
-    /**
-     * A request to stop what it waits for. It came on another connection, which may be read ahead of this one: what its
-     * client had sent before is read first.
+    // ---- Cancel and disconnect.
+    /** Handles a cancel request. It arrived on another connection, which may have been read before this one, so what the
+     * client sent earlier is read first.
      */
     void cancelled() {
         if (!present() || state == ClientState.LOGIN) {
             return;
         }
         if (lease != null) {
-            processHeld(); // the cancel follows it to the server
+            processHeld(); // so that the cancel reaches the server after the client's messages
         }
         if (opening == null) {
             held.cancelled();
@@ -336,7 +335,7 @@
             context.cancel(server);
             return;
         }
-        boolean whole = opening.whole;        // it only waits: that ends here
+        boolean whole = opening.whole; // still waiting for a place or an attempt
         opening = null;
         context.withdraw(this);
         request = null;
@@ -345,7 +344,7 @@
         processHeld();
     }
 
-    /** Tells the client why, and ends its connection. */
+    /** Sends the client a FATAL error and closes its connection. */
     void fatal(String code, String message) { end(Frame.error("FATAL", code, message, null)); }
 
     void end(Frame error) {
@@ -359,7 +358,7 @@
         detach();
     }
 
-    /** Between two transactions, with nothing half read. */
+    /** Whether the client is between two transactions, with no partly received message. */
     boolean idle() {
         return state == ClientState.IDLE && held.isEmpty() && collector.isEmpty() && decoder.empty() || lease != null && lease.betweenTransactions()
                 && held.isEmpty() && decoder.empty();
--- a/src/main/java/crankspar/pooling/ClientContext.java
+++ b/src/main/java/crankspar/pooling/ClientContext.java
@@ -3,24 +3,25 @@
 import java.util.List;
 import org.pcollections.PMap;
 
-/** The front, as its clients see it. */
+/** What the pooling front provides to its clients. */
 interface ClientContext {
   Setup setup();
 
-  /** A database by its name for clients, or null. */
+  /** The database that clients know by this name, or null. */
   Setup.Database database(String name);
 
   Route route();
 
-  /** What a client with this key is told at its start, or null while no server has said it. */
+  /** The ParameterStatus values for a new client with this key, or null until a server reports. */
   PMap<String, String> reported(ServerKey key);
 
-  /** Asks for a place and then the module; the answer comes to the client. */
+  /** Waits for a place, then submits the request to the core; the client gets the answer. */
   void submit(Client client, OpeningBatch opening);
 
-  /** Nothing more is owed to it. */
+  /** Called when the client's request has its final answer. */
   void requestEnded(Client client);
 
+  /** Withdraws the client's request, or its wait for a place. */
   void withdraw(Client client);
 
   void closed(Client client);
@@ -29,18 +30,18 @@
 
   void cancel(Server server);
 
-  /** Whether all clients together may hold so many bytes more. */
+  /** Reserves buffer space shared by all clients; false if the limit would be exceeded. */
   boolean reserveBytes(int more);
 
   boolean draining();
 
-  /** Answers what operators ask on the console, or null where it is no such command. */
+  /** Executes an admin console command; null if it is not one. */
   List<Frame> console(String sql);
 
   void count(String name);
 
   double now();
 
-  /** Runs work behind whatever the sockets hold now: ends and cancels come before it. */
+  /** Runs work after all pending socket events, so that disconnects and cancels are seen first. */
   void runLater(Runnable work);
 }
--- a/src/main/java/crankspar/pooling/ClientState.java
+++ b/src/main/java/crankspar/pooling/ClientState.java
@@ -1,15 +1,15 @@
 package crankspar.pooling;
 
-/** Where a client can be, by the names of SHOW clients. */
+/** The states of a client; SHOW clients prints these names. */
 enum ClientState {
-  /** Its start is not whole, or no server has told yet what it is to be welcomed with. */
+  /** The login is incomplete, or no server has reported the parameters sent at login yet. */
   LOGIN,
-  /** Between transactions, with no connection of its own. */
+  /** Between transactions, without a server connection. */
   IDLE,
-  /** It waits for a place. */
+  /** Waiting for a place. */
   WAITING,
-  /** Its transaction is with the module or a server. */
+  /** The core or a server has its transaction. */
   ACTIVE,
-  /** Nothing is owed any more. */
+  /** Disconnecting; nothing more is sent to it. */
   LEAVING
 }
--- a/src/main/java/crankspar/pooling/Exchange.java
+++ b/src/main/java/crankspar/pooling/Exchange.java
@@ -10,21 +10,22 @@
 import java.util.Set;
 
 /**
- * One conversation between a client and the server connection that it has: what of the client's
- * messages goes on, under which names, and what of the server's answers goes back. It is stepped
- * with one frame of either side and hands out what to send; it knows no socket. It keeps, in the
- * order of the protocol, what each message will be answered with, so that the answers to the
- * pooler's own messages are swallowed and what was spared the server is said all the same.
+ * The protocol state machine between one client and the server connection assigned to it. It
+ * decides which client messages are forwarded, under which statement names, and which server
+ * replies are passed back. Each step takes one frame from either side and returns the frames to
+ * send; the class does no I/O. It keeps the expected reply to each message in protocol order, so
+ * that replies to the pooler's own messages are discarded, and messages that the server does not
+ * get are answered locally in the right place.
  *
- * <p>After a Sync or a simple query nothing more goes on until the server is ready: what follows
- * may be another transaction, and so another member's. State changes count only when the server has
- * said that the statement was done.
+ * <p>After a Sync or a simple query nothing more is forwarded until ReadyForQuery: the next message
+ * may start a new transaction, which may be routed to another member. Changes of session state are
+ * recorded only after the server has confirmed the statement that made them.
  */
 final class Exchange {
-  /** What goes where after one step. */
+  /** The frames to send to each side after one step. */
   record Output(List<Frame> toServer, List<Frame> toClient) {}
 
-  /** A statement of which nothing is known. */
+  /** Stands for a statement whose text is unknown; treated as a write. */
   private static final Statement UNKNOWN = new Statement(Kind.WRITE, "", null, null, false);
 
   private final SessionState client;
@@ -60,12 +61,12 @@
     serverReplies = new ServerReplies(client, server, replies, batch, projected, progress);
   }
 
-  /** As the server said last: I, T or E. */
+  /** The transaction status of the last ReadyForQuery: I, T or E. */
   char status() {
     return batch.status();
   }
 
-  /** Whether the client's next messages must wait for the server to be ready. */
+  /** Whether the client's next messages must wait for ReadyForQuery. */
   boolean awaitingReady() {
     return batch.awaitingReady();
   }
@@ -74,42 +75,42 @@
     return batch.copying();
   }
 
-  /** Whether nothing is owed. */
+  /** Whether no reply is outstanding and no COPY is running. */
   boolean allRepliesReceived() {
     return replies.isEmpty() && !batch.copying();
   }
 
-  /** Whether nothing is owed and both sides are between transactions. */
+  /** Whether no reply is outstanding and no transaction is open on either side. */
   boolean betweenTransactions() {
     return allRepliesReceived() && !inTransaction();
   }
 
-  /** Whether a transaction is open: in a block, or in a batch without its Sync. */
+  /** Whether a transaction is open: a block, or a batch whose Sync is still missing. */
   boolean inTransaction() {
     return batch.inTransaction();
   }
 
-  /** Whether the server may still give answers, and to what is not known. */
+  /** Whether the server may still send replies that cannot be matched to a message. */
   boolean repliesUncertain() {
     return !allRepliesReceived() || batch.syncUncertain();
   }
 
-  /** Whether the server has got a part of a batch, and no Sync behind it. */
+  /** Whether the server has received part of a batch but not its Sync. */
   boolean serverBatchOpen() {
     return batch.serverBatchOpen();
   }
 
-  /** Whether an error has been told after which nothing counts up to the client's Sync. */
+  /** Whether a batch has failed and messages are skipped up to the client's Sync. */
   boolean skippingToSync() {
     return batch.skipping();
   }
 
-  /** Parse messages that have gone to the server. */
+  /** The number of Parse messages sent to the server. */
   long prepares() {
     return names.prepares();
   }
 
-  /** Statements that were prepared under options that their client has changed since. */
+  /** The number of statements prepared under options that their client has since changed. */
   long preparedUnderOtherOptions() {
     return names.preparedUnderOtherOptions();
   }
@@ -119,24 +120,25 @@
   }
 
   /**
-   * Whether the batch that has just failed may be begun again here: all that was wrong is a
-   * statement that the server had lost or whose plan no longer fitted, and nothing was executed.
+   * Whether the batch that has just failed can be retried on this connection: it failed only
+   * because the server had lost a prepared statement or its cached plan was stale, and nothing was
+   * executed.
    */
   boolean retryableAfterLostStatement() {
     return serverReplies.statementLost() && !executed() && status() == 'I';
   }
 
-  /** The SQLSTATE of a batch's first error, or null; known until the next batch begins. */
+  /** The SQLSTATE of the current batch's first error, or null; kept until the next batch. */
   String firstError() {
     return serverReplies.firstError();
   }
 
-  /** Whether any statement of it has been executed, in whole or in part. */
+  /** Whether any statement of the current batch was executed, even in part. */
   boolean executed() {
     return serverReplies.executed();
   }
 
-  /** Takes back what the client has prepared and closed since the batch began, to begin it anew. */
+  /** Undoes the client's Parse and Close messages of the current batch, so it can be resent. */
   void rewind() {
     replies.rewind();
     projected.forget();
@@ -144,7 +146,7 @@
     serverReplies.forgetErrors();
   }
 
-  /** The client keeps its connection and begins another transaction on it. */
+  /** Starts another transaction of the client that keeps this connection. */
   Progress beginTransaction() {
     progress = new Progress();
     progress.answerDelivered();
@@ -152,7 +154,7 @@
     return progress;
   }
 
-  /** The next batch begins: what is known of the last one's errors is over. */
+  /** Starts the next batch and clears the errors of the last one. */
   void beginBatch() {
     serverReplies.beginBatch();
   }
@@ -161,7 +163,7 @@
   Output fromClient(Frame f) throws Frame.Malformed {
     resetOutput();
     if (batch.skips(f)) {
-      return output(); // so would the server, and say nothing
+      return output(); // the server would skip it too, without a reply
     }
     batch.fromClient(f);
     switch (f.type()) {
@@ -202,7 +204,7 @@
     return new Output(toServer, toClient);
   }
 
-  /** A message to the server with the answer that it will have; null where it is spared that. */
+  /** Queues a message, or null if it is answered locally, and its expected reply. */
   private void send(Frame f, PendingReply reply) {
     if (f != null) {
       batch.toServer(f);
@@ -228,7 +230,7 @@
     }
   }
 
-  /** Whether the operator refuses what one of these does; the client hears it in its turn. */
+  /** Rejects a batch with a statement the configuration forbids; the error is sent in order. */
   private boolean refuse(List<Statement> statements) {
     for (Statement s : statements) {
       Statement prepared = s.kind() == Kind.PREPARE ? SqlPrepared.effect(s) : null;
@@ -259,9 +261,9 @@
   }
 
   /**
-   * An error of ours, after the answers to all before it; the rest of its batch is passed over.
-   * What the server has executed of the batch must not be committed by its Sync: there the error is
-   * the server's.
+   * Sends the pooler's own error after the replies to all earlier messages, and skips the rest of
+   * the batch. If the server has already executed part of the batch, the error is raised at the
+   * server, because the batch's Sync would otherwise commit that part.
    */
   private void refuse(String code, String why) {
     Frame error = Frame.error("ERROR", code, why, null);
@@ -300,7 +302,7 @@
     send(sent, PendingReply.expect(MessageKind.DESCRIBE_STATEMENT, statement));
   }
 
-  /** A client's statement is closed here only: others may use what the server has. */
+  /** Closes a statement for this client only: other clients may share it at the server. */
   private void close(Frame f) throws Frame.Malformed {
     Frame.Reader r = f.read();
     boolean ofStatement = r.code() == 'S';
@@ -356,11 +358,11 @@
     serverReplies.querySent();
     executions += statements.size();
     client.close("");
-    server.unnamed(null); // a simple query does away with the unnamed statement
+    server.unnamed(null); // a simple query destroys the unnamed statement
     if (statements.size() == 1
         && statements.get(0).kind() == Kind.DEALLOCATE
         && client.prepared(statements.get(0).name()) != null) {
-      // The server knows it under another name, and others use it there.
+      // At the server the statement has another name and is shared with other clients.
       send(
           Frame.query(""),
           PendingReply.expect(MessageKind.QUERY, statements)
@@ -377,8 +379,8 @@
 
   // ---- From the server.
   /**
-   * Steps with one of its frames; one that nothing asked for is malformed, and the connection of no
-   * more use.
+   * Handles one frame from the server. A frame that answers no message is malformed, and the
+   * connection must not be used again.
    */
   Output fromServer(Frame f) throws Frame.Malformed {
     resetOutput();
--- a/src/main/java/crankspar/pooling/FrameQueue.java
+++ b/src/main/java/crankspar/pooling/FrameQueue.java
@@ -4,12 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a client has sent and what waits for its turn, in order. */
+/** The frames that a client has sent and that are not processed yet, in order. */
 final class FrameQueue {
   private final ArrayDeque<Frame> frames = new ArrayDeque<>(2);
   private int bytes;
 
-  /** So many came before a cancel that the first statement among them is to hear of. */
+  /** The number of queued frames that preceded a cancel, which applies to their first statement. */
   private int framesBeforeCancel;
 
   void add(Frame frame) {
@@ -31,7 +31,7 @@
     return frame;
   }
 
-  /** This frame and what has come behind it, up to what ends a batch: they leave in one piece. */
+  /** This frame and those queued after it, up to the batch's end: they are sent in one write. */
   List<Frame> pollBatch(Frame first) {
     var all = new ArrayList<Frame>(4);
     all.add(first);
@@ -43,17 +43,17 @@
     return all;
   }
 
-  /** A cancel has come for what is held now. */
+  /** Records a cancel request, which applies to the frames queued now. */
   void cancelled() {
     framesBeforeCancel = frames.size();
   }
 
-  /** What was polled last is dealt with. */
+  /** Records that the frame polled last was processed. */
   void frameProcessed() {
     framesBeforeCancel = Math.max(0, framesBeforeCancel - 1);
   }
 
-  /** Whether a cancel came for the statement that is opened now; it counts once. */
+  /** Whether a cancel applies to the statement being opened; clears the cancel. */
   boolean takeCancel() {
     boolean came = framesBeforeCancel > 0;
     framesBeforeCancel = 0;
--- a/src/main/java/crankspar/pooling/Lease.java
+++ b/src/main/java/crankspar/pooling/Lease.java
@@ -8,14 +8,15 @@
 import java.util.List;
 
 /**
- * One client's use of a server connection, from its opening batch to the end of its transaction or
- * session: what is sent, which answers are held back while the batch may still be asked elsewhere,
- * and how the attempt ends. Its connection is {@link Server}; how it is left to the next client
- * {@link Release} decides.
+ * One client's use of a server connection, from the opening batch to the end of its transaction or
+ * session. It forwards messages, holds replies back while the batch can still be retried at another
+ * member, and reports how the attempt ends. {@link Server} is the connection; {@link Release}
+ * decides how the connection is prepared for the next client.
  */
 final class Lease {
   /**
-   * An answer up to this (bytes) is held until it is whole; of a longer one the client gets all.
+   * Replies up to this size (bytes) are held back until complete. A longer reply is streamed to the
+   * client, which rules out a retry.
    */
   private static final int MAX_HELD_BYTES = 64 * 1024;
 
@@ -23,7 +24,7 @@
   private final OpeningBatch opening;
   private final Exchange exchange;
 
-  /** The latest time at which it may begin (ms); a bounded read's data ages meanwhile. */
+  /** The latest start time (ms): a bounded-staleness read's data ages while it waits. */
   private final double latestStart;
 
   private Ports.AttemptListener<Answer> listener;
@@ -31,13 +32,13 @@
   private List<Frame> held = new ArrayList<>(4);
   private int heldBytes;
 
-  /** Whether it is its client's until the transaction's end: something of its answer was shown. */
+  /** Whether part of the reply went to the client, which binds it until the transaction's end. */
   private boolean bound;
 
-  /** Whether its batch was begun again for a lost statement: that happens once. */
+  /** Whether the batch was already retried after a lost statement; it is retried only once. */
   private boolean restarted;
 
-  /** Whether nobody knows which of SQL's statements the connection has. */
+  /** Whether it is unknown which statements of SQL PREPARE the connection has. */
   private boolean sqlStatementsUncertain;
 
   private double transactionSince;
@@ -73,39 +74,39 @@
     return exchange.status();
   }
 
-  /** Whether its client's transaction is open, in a block or in a batch without its Sync. */
+  /** Whether a transaction is open: a block, or a batch whose Sync is still missing. */
   boolean inTransaction() {
     return exchange.inTransaction();
   }
 
-  /** Since when its present transaction is under way, or its last one was begun (ms). */
+  /** The start time (ms) of the current transaction, or else of the last one. */
   double transactionSince() {
     return transactionSince;
   }
 
-  /** Since when its client owes the next message of an open transaction (ms), or infinity. */
+  /** Since when (ms) the open transaction has waited for its client, or infinity. */
   double idleInTransactionSince() {
     return bound && exchange.allRepliesReceived() && exchange.inTransaction()
         ? lastMessageAt
         : Double.POSITIVE_INFINITY;
   }
 
-  /** Whether its client's next messages must wait. */
+  /** Whether the client's next messages must wait for ReadyForQuery. */
   boolean awaitingReady() {
     return exchange.awaitingReady();
   }
 
-  /** Whether the server is read: not while what it gives has nowhere to go. */
+  /** Starts or stops reading from the server, for backpressure from the client. */
   void setServerReading(boolean on) {
     server.reading(on);
   }
 
-  /** Whether it is between two transactions of the client that keeps it. */
+  /** Whether the client that keeps the connection is between two transactions. */
   boolean betweenTransactions() {
     return bound && exchange.betweenTransactions();
   }
 
-  /** Whether it is left to its client beyond a transaction. */
+  /** Whether the client keeps the connection after its transaction. */
   private boolean outlivesTransaction() {
     return opening.mode == Setup.Mode.SESSION || !opening.client.session().pins().none();
   }
@@ -115,21 +116,22 @@
   }
 
   // ---- From the client.
-  /** The connection is up and in its client's state. */
+  /** Called once the connection is established and has the client's session state. */
   void start() {
     if (opening.isEmpty()) {
       server.finish(new AttemptEnd.Served<>(new Answer(List.of(), this), note()));
       return;
     }
-    boolean wanted = listener.wanted(); // the last check before a write; it may end this attempt
+    boolean wanted = listener.wanted(); // last check before writing; the call may end this attempt
     if (!active()) {
       return;
     }
     if (!wanted) {
-      server.finish(new AttemptEnd.Unsent<>("nobody waits for it any more"));
+      server.finish(new AttemptEnd.Unsent<>("the request is no longer wanted"));
     } else if (server.pool().now() > latestStart) {
       server.finish(
-          new AttemptEnd.Broken<>(Reach.NOT_CONNECTED, "the connection was ready too late"));
+          new AttemptEnd.Broken<>(
+              Reach.NOT_CONNECTED, "the connection was established after the latest start time"));
     } else {
       queueChangedParameters();
       forward(opening.frames);
@@ -139,7 +141,7 @@
     }
   }
 
-  /** What this server reports and the client has not heard, or heard otherwise from another. */
+  /** Queues the ParameterStatus values that differ from those last sent to the client. */
   private void queueChangedParameters() {
     SessionState client = opening.client.session();
     ServerState state = server.sessionState();
@@ -162,7 +164,7 @@
     heldBytes += f.size();
   }
 
-  /** Its opening batch, and then its client's next messages while it has the connection. */
+  /** Forwards the opening batch, and later the client's next messages. */
   void forward(List<Frame> frames) {
     var toServer = new ArrayList<Frame>(frames.size() + 2);
     var toClient = new ArrayList<Frame>();
@@ -201,7 +203,7 @@
             && exchange.betweenTransactions()
             && !exchange.awaitingReady();
     if (local && (ends || !opening.whole)) {
-      ready(); // nothing of it was for the server
+      ready(); // the whole batch was answered locally
     }
     deliverErrorBeforeSync();
   }
@@ -222,8 +224,8 @@
   }
 
   /**
-   * After an error nothing more comes from the server until its client, who has to hear of it
-   * first, sends a Sync.
+   * Passes on the error of a batch without a Sync. The server sends nothing more until the client
+   * sends its Sync, and the client does that only after it has seen the error.
    */
   private void deliverErrorBeforeSync() {
     if (active() && !bound && exchange.skippingToSync()) {
@@ -245,14 +247,14 @@
     }
   }
 
-  /** From here on it is its client's: what has come is shown, and nothing is sent elsewhere. */
+  /** Sends the held replies to the client; from now on the batch is not retried elsewhere. */
   private void bindToClient(Note note) {
     bound = true;
     progress.answerDelivered();
     List<Frame> delivered = held;
     held = new ArrayList<>(0);
     if (!listener.held(new Answer(delivered, this), note) && active()) {
-      server.fail("nobody waits for it any more");
+      server.fail("the request is no longer wanted");
     }
   }
 
@@ -263,14 +265,14 @@
     deliver(exchange.fromServer(f).toClient());
     deliverErrorBeforeSync();
     if (!wasCopying && exchange.copying() && active()) {
-      opening.client.resume(); // what waited for the answer may be its data
+      opening.client.resume(); // the held messages may be its data
     }
     if (f.type() == 'Z' && active()) {
       ready();
     }
   }
 
-  /** The server is ready: a batch has ended, and perhaps the transaction. */
+  /** Handles ReadyForQuery: the batch has ended, and perhaps the transaction. */
   private void ready() {
     boolean transactionOver = exchange.status() == 'I';
     SessionState client = opening.client.session();
@@ -296,7 +298,7 @@
     }
   }
 
-  /** Its client has the connection for more: the rest of a block, or of a session. */
+  /** Keeps the connection for the client, for the rest of a block or of its session. */
   private void continueSession(boolean transactionOver) {
     exchange.beginBatch();
     if (transactionOver) {
@@ -312,7 +314,7 @@
     }
   }
 
-  /** A statement that the server had lost is prepared once more, and the batch begun again. */
+  /** Retries the batch once if it failed because the server had lost a prepared statement. */
   private boolean restartBatch() {
     if (restarted || !opening.whole || !exchange.retryableAfterLostStatement()) {
       return false;
@@ -328,9 +330,9 @@
   }
 
   /**
-   * The connection could not be brought to its client's state: the client hears why. The options
-   * are as before, but statements of SQL's are prepared and deallocated without regard to
-   * transactions.
+   * Reports to the client that its session state could not be restored on this connection. The
+   * failed query rolled the options back, but PREPARE and DEALLOCATE are not transactional, so the
+   * connection's SQL-level statements may have changed.
    */
   void restoreFailed(Frame error) {
     sqlStatementsUncertain =
@@ -344,7 +346,7 @@
   }
 
   // ---- Its end.
-  /** How its connection is left where it ends now; {@code clientLeft} where its session ends. */
+  /** The state in which the lease leaves its connection; {@code clientLeft}: the session ends. */
   Release.Condition releaseCondition(boolean clientLeft, boolean unwanted, int cancelsPending) {
     return new Release.Condition(
         exchange.repliesUncertain(),
@@ -356,7 +358,7 @@
         cancelsPending);
   }
 
-  /** How far its attempt had come, with its connection in this state. */
+  /** How far the attempt had come when its connection was in this state. */
   Reach reach(ConnectionState state) {
     return switch (state) {
       case CARRYING -> Reach.PARTLY_WRITTEN;
@@ -368,7 +370,7 @@
     };
   }
 
-  /** Nobody hears of it any more: its client has gone, or the core has given it up. */
+  /** Drops the listener: the client has disconnected, or the core has given up the attempt. */
   void abandon() {
     if (bound && exchange.serverBatchOpen()) {
       server.pool().count("pooling_batches_cut_off", 1);
@@ -377,7 +379,7 @@
     listener = null;
   }
 
-  /** Its connection is lost; {@code begun} once that was in its client's state. */
+  /** Handles a lost connection; {@code begun}: it already had the client's session state. */
   void connectionLost(boolean begun) {
     opening.outcome = begun ? progress.outcome() : Progress.Outcome.RETRYABLE;
     exchange.rewind();
@@ -386,7 +388,7 @@
     }
   }
 
-  /** Tells the attempt's end, once. */
+  /** Reports the end of the attempt, at most once. */
   void reportEnd(AttemptEnd<Answer> end) {
     Ports.AttemptListener<Answer> endListener = listener;
     listener = null;
--- a/src/main/java/crankspar/pooling/Login.java
+++ b/src/main/java/crankspar/pooling/Login.java
@@ -10,14 +10,14 @@
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 
-/** How a client starts: it asks for encryption, brings a cancel, or logs in and is welcomed. */
+/** Handles a client's startup: encryption requests, cancel requests and the login itself. */
 final class Login {
   private static final int MAX_ENCRYPTION_REQUESTS = 2;
   private static final int PROTOCOL_MAJOR = 3;
   private static final int MAJOR_SHIFT = 16;
   private static final int MINOR_MASK = 0xffff;
 
-  /** What the console tells of itself. */
+  /** The ParameterStatus values of the admin console. */
   private static final PMap<String, String> CONSOLE_PARAMETERS =
       HashTreePMap.<String, String>empty()
           .plus("server_version", "14.0 (crankspar)")
@@ -28,7 +28,7 @@
   private final ClientContext context;
   private int encryptionRequests;
 
-  /** The start of a client that waits until a server has told what it is welcomed with. */
+  /** Startup parameters of a client that waits for a server to report its parameters. */
   private Map<String, String> pendingParameters;
 
   Login(Client client, ClientContext desk) {
@@ -39,7 +39,7 @@
   void take(Frame f) throws Frame.Malformed {
     if (f.type() == Frame.ENCRYPTION) {
       if (++encryptionRequests > MAX_ENCRYPTION_REQUESTS) {
-        throw new Frame.Malformed("encryption is asked for again and again");
+        throw new Frame.Malformed("too many encryption requests");
       }
       client.refuseEncryption();
       return;
@@ -56,7 +56,7 @@
     int major = code >>> MAJOR_SHIFT;
     int minor = code & MINOR_MASK;
     if (major != PROTOCOL_MAJOR) {
-      throw new Frame.Malformed("protocol " + major + "." + minor + " is not spoken here");
+      throw new Frame.Malformed("protocol " + major + "." + minor + " is not supported");
     }
     var parameters = new LinkedHashMap<String, String>();
     for (String name = r.text(); !name.isEmpty(); name = r.text()) {
@@ -66,7 +66,7 @@
     login(parameters);
   }
 
-  /** A newer minor version, or unknown options of the protocol, are answered with what is known. */
+  /** Answers a newer minor version or unknown protocol options with what is supported. */
   private void negotiate(int minor, Map<String, String> parameters) {
     List<String> unknown = parameters.keySet().stream().filter(n -> n.startsWith("_pq_.")).toList();
     if (minor > 0 || !unknown.isEmpty()) {
@@ -115,7 +115,7 @@
     }
   }
 
-  /** The first client of a key waits until a server has told what clients are welcomed with. */
+  /** Makes the first client of a key wait until a server has reported its parameters. */
   private void learnServerParameters(
       Setup.Database database, String user, Map<String, String> parameters) {
     try {
@@ -127,7 +127,7 @@
     }
   }
 
-  /** What a server had to say, for the client that waits for it. */
+  /** Completes or rejects the login of the client that waited for a server's parameters. */
   void serverParametersLearned(FinalAnswer<Answer> answer, OpeningBatch batch, String refusal) {
     PMap<String, String> reported = context.reported(client.key());
     if (answer instanceof FinalAnswer.Served<Answer> && reported != null) {
@@ -136,11 +136,14 @@
     } else if (batch.serverError != null) {
       client.end(batch.serverError);
     } else {
-      client.fatal("57P03", "no server is to be had: " + refusal);
+      client.fatal("57P03", "no server is available: " + refusal);
     }
   }
 
-  /** What it has asked for counts as told: its own time zone, say, in its own words. */
+  /**
+   * Sends the login's replies; a value the client asked for itself, such as its time zone, counts
+   * as reported and is sent in the client's spelling.
+   */
   private void completeLogin(PMap<String, String> reported, Map<String, String> asked) {
     var frames = new ArrayList<Frame>();
     frames.add(Frame.body().int32(0).as('R'));
--- a/src/main/java/crankspar/pooling/LostConnection.java
+++ b/src/main/java/crankspar/pooling/LostConnection.java
@@ -1,6 +1,6 @@
 package crankspar.pooling;
 
-/** What a client is told when the connection to its server was lost, by what may have happened. */
+/** The error a client gets when its server connection was lost, by the known outcome. */
 final class LostConnection {
   private LostConnection() {}
 
--- a/src/main/java/crankspar/pooling/MemberRefusal.java
+++ b/src/main/java/crankspar/pooling/MemberRefusal.java
@@ -5,22 +5,25 @@
 import crankspar.core.AttemptEnd.Note;
 import java.util.Set;
 
-/** Errors by which a member turns a batch away untouched: the module hears them, not the client. */
+/**
+ * Errors by which a member refuses a batch before executing it; the core handles them and may retry
+ * at another member, so the client does not see them.
+ */
 final class MemberRefusal {
   /**
-   * SQLSTATEs of a member that cannot serve it: a read-only one, or one with too old a snapshot.
+   * SQLSTATEs of a member that cannot serve the batch: it is read-only, or its snapshot is too old.
    */
   private static final Set<String> CANNOT_SERVE = Set.of("25006", "72000");
 
-  /** SQLSTATEs of a member that takes nothing now. */
+  /** SQLSTATEs of a member that currently accepts no work. */
   private static final Set<String> NOT_ACCEPTING = Set.of("53300", "57P03");
 
-  /** SQLSTATE of an error within the server itself. */
+  /** SQLSTATE of an internal error of the server. */
   private static final String INTERNAL_ERROR = "XX000";
 
   private MemberRefusal() {}
 
-  /** How the attempt ends where the batch's answer is such an error, else null. */
+  /** How the attempt ends if the batch was answered with such an error, else null. */
   static AttemptEnd<Answer> of(OpeningBatch opening, Exchange exchange, Note note) {
     boolean write = opening.way.write();
     boolean blockAtReplica =
--- a/src/main/java/crankspar/pooling/OpeningBatch.java
+++ b/src/main/java/crankspar/pooling/OpeningBatch.java
@@ -3,33 +3,34 @@
 import java.util.List;
 
 /**
- * What one request to the module stands for: a transaction's first messages, up to the one that
- * ends a batch. Until something of the answer has gone to the client they may be sent to another
- * member, as they are.
+ * The first messages of a transaction, up to the one that ends a batch, submitted to the core as
+ * one request. Until part of the reply has been sent to the client they may be resent unchanged to
+ * another member.
  */
 final class OpeningBatch {
   final Client client;
   final List<Frame> frames;
 
-  /** Whether the batch is whole: it ends with a Sync, a simple query or a function call. */
+  /** Whether the batch is complete: it ends with a Sync, a simple query or a function call. */
   final boolean whole;
 
   final Route.Way way;
 
-  /** Only a BEGIN: a server's role is looked at before its client hears that it has begun. */
+  /** Whether it only begins a block; the server's role is checked before the reply is sent. */
   final boolean onlyBegin;
 
-  /** Its client's mode: at the end of a transaction the connection is given back, or not. */
+  /** The pooling mode: whether the connection is released at the end of a transaction. */
   final Setup.Mode mode;
 
-  /** The connection that has it now, or had it last. */
+  /** The server connection that has the batch, or had it last. */
   Server server;
 
-  /** How far it had come where its connection broke. */
+  /** What is known of the transaction if its connection was lost. */
   Progress.Outcome outcome = Progress.Outcome.RETRYABLE;
 
   /**
-   * What a server said that had it end, for its client to hear if nothing better follows; or null.
+   * The server error that ended an attempt, or null; sent to the client if no later attempt
+   * succeeds.
    */
   Frame serverError;
 
@@ -48,12 +49,12 @@
     this.mode = mode;
   }
 
-  /** One that asks for nothing: it only learns what servers report of themselves. */
+  /** Whether it has no messages: such a batch only learns the parameters that servers report. */
   boolean isEmpty() {
     return frames.isEmpty();
   }
 
-  /** What its client hears where it was refused, with a time (ms) to come back at or nought. */
+  /** The error for a refused request; {@code retryIn}: when to retry (ms), or 0 if unknown. */
   Frame refusal(double retryIn, String why) {
     if (serverError != null && retryIn == 0) {
       return serverError;
@@ -62,7 +63,7 @@
     return Frame.error("ERROR", "53300", why, detail);
   }
 
-  /** What its client hears where it failed. */
+  /** The error sent to the client when its request failed. */
   Frame failure(boolean mayHaveRun, String why) {
     boolean unknown = mayHaveRun && outcome == Progress.Outcome.UNKNOWN;
     return unknown || serverError == null
--- a/src/main/java/crankspar/pooling/PendingReplies.java
+++ b/src/main/java/crankspar/pooling/PendingReplies.java
@@ -5,11 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The answers that are owed on one connection, in the order of the protocol. */
+/** The outstanding replies of one connection, in protocol order. */
 final class PendingReplies {
   private final ArrayDeque<PendingReply> pending = new ArrayDeque<>();
 
-  /** What was answered since the batch began, for one that is begun again. */
+  /** Replies completed since the batch began, kept to undo them if the batch is retried. */
   private final List<PendingReply> answered = new ArrayList<>(4);
 
   void add(PendingReply reply) {
@@ -20,33 +20,33 @@
     return pending.isEmpty();
   }
 
-  /** What is answered next, or null. */
+  /** The next expected reply, or null. */
   PendingReply next() {
     return pending.peek();
   }
 
-  /** What a message of the server's answers; one that nothing asked for is malformed. */
+  /** The next expected reply; throws if none is outstanding. */
   PendingReply expected() throws Frame.Malformed {
     PendingReply next = pending.peek();
     if (next == null) {
-      throw new Frame.Malformed("an answer that nothing asked for");
+      throw new Frame.Malformed("reply without a request");
     }
     return next;
   }
 
-  /** The next one has had its whole answer. */
+  /** Completes the next expected reply. */
   PendingReply complete() {
     PendingReply reply = pending.poll();
     answered.add(reply);
     return reply;
   }
 
-  /** Takes the end of a batch off; it is not begun again with the batch. */
+  /** Removes the reply that ends a batch; there is nothing to undo for it in a retry. */
   void removeBatchEnd() {
     pending.poll();
   }
 
-  /** Takes off the Sync that stands right behind the next one; whether there was one. */
+  /** Removes a Sync directly after the next expected reply; returns whether there was one. */
   boolean removeFollowingSync() {
     var inOrder = pending.iterator();
     inOrder.next();
@@ -57,7 +57,7 @@
     return sync;
   }
 
-  /** What was spared the server and is now to be said. */
+  /** Takes the local replies whose turn has come. */
   List<Frame> takeLocal() {
     if (pending.isEmpty() || pending.peek().kind() != MessageKind.LOCAL) {
       return List.of();
@@ -70,8 +70,8 @@
   }
 
   /**
-   * After an error in the extended protocol the server passes over everything up to the Sync; all
-   * that is undone, the last first.
+   * After an error in the extended protocol the server skips everything up to the Sync; the effects
+   * of the skipped messages are undone in reverse order.
    */
   void skipToSync() {
     var passedOver = new ArrayList<PendingReply>();
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Takes back what the client has prepared and closed since the batch began. */
+  /** Undoes the client's Parse and Close messages since the batch began, in reverse order. */
   void rewind() {
     while (!pending.isEmpty()) {
       pending.pollLast().undoAtClient().run();
@@ -95,7 +95,7 @@
     answered.clear();
   }
 
-  /** The next batch begins. */
+  /** Starts the next batch. */
   void beginBatch() {
     answered.clear();
   }
--- a/src/main/java/crankspar/pooling/PendingReply.java
+++ b/src/main/java/crankspar/pooling/PendingReply.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * What one of the client's messages, or one of the pooler's own, is answered with. Where the server
- * passes over it after an error, both undoes run: what the client has prepared, and what its
- * connection holds. Where a whole batch is begun again, only the client's do.
+ * The expected reply to one message of the client's or the pooler's own. If the server skips the
+ * message after an error, both undo actions run: for what the client has prepared, and for what the
+ * connection holds. If a whole batch is retried, only the client's undo runs.
  *
- * @param statements what is done once it has been answered
- * @param prepared the statement that it prepares or uses, or null
- * @param answer what the client hears in place of the server's answer, or null
+ * @param statements the statements whose effects apply once the reply has arrived
+ * @param prepared the prepared statement that the message creates or uses, or null
+ * @param answer the frame sent to the client in place of the server's reply, or null
  */
 record PendingReply(
     MessageKind kind,
@@ -20,7 +20,7 @@
     Runnable undoAtClient,
     Runnable undoAtServer) {
 
-  /** The kind of message. */
+  /** The kind of message that the reply answers. */
   enum MessageKind {
     PARSE,
     BIND,
@@ -31,12 +31,12 @@
     SYNC,
     QUERY,
     CALL,
-    /** The pooler's own: its answer goes no further. */
+    /** A message of the pooler's own: its reply is not forwarded. */
     INTERNAL,
-    /** Spared the server: its answer is made here. */
+    /** A message that does not go to the server: the pooler answers it. */
     LOCAL;
 
-    /** Whether the server's message of this type answers such a message. */
+    /** Whether a server message of this type can be a reply to this kind of message. */
     boolean answeredBy(char type) {
       return switch (type) {
         case '1' -> this == PARSE || this == INTERNAL;
@@ -54,7 +54,7 @@
       };
     }
 
-    /** Whether ReadyForQuery follows it. */
+    /** Whether the server answers it with ReadyForQuery at the end. */
     boolean endsBatch() {
       return this == SYNC || this == QUERY || this == CALL;
     }
@@ -72,13 +72,13 @@
         step, statements, null, null, PendingReply::nothing, PendingReply::nothing);
   }
 
-  /** One of the pooler's own, about this statement. */
+  /** The reply to a message of the pooler's own about this statement. */
   static PendingReply internal(Prepared prepared, Runnable undoAtServer) {
     return new PendingReply(
         MessageKind.INTERNAL, List.of(), prepared, null, PendingReply::nothing, undoAtServer);
   }
 
-  /** An answer that needs no server. */
+  /** A reply that the pooler gives without the server. */
   static PendingReply local(Frame answer) {
     return new PendingReply(
         MessageKind.LOCAL, List.of(), null, answer, PendingReply::nothing, PendingReply::nothing);
--- a/src/main/java/crankspar/pooling/Progress.java
+++ b/src/main/java/crankspar/pooling/Progress.java
@@ -5,22 +5,22 @@
 import java.util.List;
 
 /**
- * How far a transaction had come, and so what may follow when its connection breaks. PostgreSQL
- * begins a message with its last byte and an implicit transaction takes effect with its Sync or
- * simple query; a block does with its COMMIT. What has been passed on to the client is never taken
- * back: from then on nothing is sent elsewhere.
+ * Tracks how far a transaction has come, to decide what is possible after its connection is lost.
+ * PostgreSQL starts a message once it has received its last byte. An implicit transaction takes
+ * effect with its Sync or simple query, a block with its COMMIT. A reply passed on to the client
+ * cannot be revoked: from then on the batch is not retried.
  */
 final class Progress {
-  /** What may follow a break. */
+  /** What is known of a transaction whose connection was lost. */
   enum Outcome {
     /**
-     * Nothing ran, or nothing but reads, and the client has seen nothing: another member may be
-     * asked.
+     * Nothing or only reads were executed and the client has received no reply: the batch may be
+     * retried at another member.
      */
     RETRYABLE,
-    /** It was rolled back: it had no effect, and is not sent again. */
+    /** It was rolled back, so it had no effect; it is not retried. */
     FAILED,
-    /** It may have taken effect, or not: 08007. */
+    /** It may or may not have taken effect: SQLSTATE 08007. */
     UNKNOWN
   }
 
@@ -34,19 +34,20 @@
       statementQueued,
       executed;
 
-  /** An end of a transaction has been sent, and the server has not been ready since. */
+  /** A COMMIT or ROLLBACK was sent, and no ReadyForQuery has arrived since. */
   private boolean endSent;
 
-  /** Something that may take effect was sent behind such an end. */
+  /** A statement that may write was sent after that COMMIT or ROLLBACK. */
   private boolean writeAfterEnd;
 
-  /** Such an end is a message of its own: the server begins it before the batch's last byte. */
+  /** A COMMIT is one of several messages, so it may run before the batch's last byte is sent. */
   private boolean commitWithinBatch;
 
   /**
-   * Statements go out, outside a block as one implicit transaction; called before their first byte
-   * leaves. One message ({@code whole}) is begun with its last byte; of several, the first may be
-   * executed before the last leaves.
+   * Records statements that are about to be sent; called before their first byte is written.
+   * Outside a block they form one implicit transaction. A single message ({@code singleMessage})
+   * starts with its last byte; of several messages, the first may be executed before the last is
+   * written.
    */
   void sending(List<Statement> statements, boolean singleMessage) {
     for (Statement s : statements) {
@@ -71,19 +72,20 @@
   }
 
   /**
-   * The last byte of what ends a batch (a Sync, a simple query) has left: the server may begin it.
+   * Records that the last byte of the message that ends a batch (a Sync or a simple query) was
+   * written: the server may start it.
    */
   void batchSent() {
     batchRunning = true;
     executed |= statementQueued;
   }
 
-  /** Something of the answer has gone to the client. */
+  /** Records that part of the reply was sent to the client. */
   void answerDelivered() {
     answerDelivered = true;
   }
 
-  /** The server has answered COMMIT, ROLLBACK or the like: what is before it is decided. */
+  /** Records a command tag; a COMMIT, ROLLBACK or PREPARE TRANSACTION settles what precedes it. */
   void writeCommitted(String tag) {
     if (tag.equals("COMMIT") || tag.equals("ROLLBACK") || tag.equals("PREPARE TRANSACTION")) {
       inBlock = commitSent = false;
@@ -92,7 +94,7 @@
     }
   }
 
-  /** The server is ready in this state. */
+  /** Records a ReadyForQuery with this transaction status. */
   void ready(char status) {
     batchRunning = endSent = writeAfterEnd = commitWithinBatch = false;
     inBlock = status != 'I';
@@ -101,17 +103,17 @@
     }
   }
 
-  /** Whether more than a BEGIN may have been executed, if only to be rolled back. */
+  /** Whether more than a BEGIN may have been executed, even if it was rolled back. */
   boolean executed() {
     return executed;
   }
 
-  /** Whether anything but reads has been sent in it. */
+  /** Whether the transaction has sent anything but reads. */
   boolean writes() {
     return !readOnly;
   }
 
-  /** Whether a batch is out that has not been answered whole. */
+  /** Whether a batch was sent whose ReadyForQuery has not arrived. */
   boolean batchRunning() {
     return batchRunning;
   }
@@ -122,8 +124,8 @@
         || batchRunning && undeliveredCommit) {
       return Outcome.UNKNOWN;
     }
-    // A piece of a batch may have been executed and rolled back: only what has no trace is asked
-    // elsewhere.
+    // Part of a batch may have run and been rolled back; only a batch that left no trace is
+    // retried.
     return !answerDelivered && !writeCommitted && (readOnly || !batchRunning && !executed)
         ? Outcome.RETRYABLE
         : Outcome.FAILED;
--- a/src/main/java/crankspar/pooling/ServerReplies.java
+++ b/src/main/java/crankspar/pooling/ServerReplies.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * What a server's messages amount to: which of them its client hears, what its session and its
- * connection hold from then on, and what is known of the present batch.
+ * Interprets a server's messages: which of them are forwarded to the client, how they change the
+ * state of the session and of the connection, and what they say about the current batch.
  */
 final class ServerReplies {
-  /** SQLSTATE of a statement that the server does not know. */
+  /** SQLSTATE of a prepared statement that the server does not have. */
   private static final String STATEMENT_LOST = "26000";
 
-  /** SQLSTATE of a statement whose plan no longer fits, among others. */
+  /** SQLSTATE, among other uses, of a prepared statement whose cached plan is stale. */
   private static final String STATEMENT_STALE = "0A000";
 
   private final SessionState client;
@@ -22,7 +22,7 @@
   private final ProjectedOptions projected;
   private Progress progress;
 
-  /** How many statements of the present simple query have been done. */
+  /** The number of completed statements of the current simple query. */
   private int queryStatementsDone;
 
   private boolean executed;
@@ -44,12 +44,12 @@
     this.progress = progress;
   }
 
-  /** Another transaction begins. */
+  /** Starts another transaction. */
   void beginTransaction(Progress next) {
     progress = next;
   }
 
-  /** The next batch begins: what is known of the last one's errors is over. */
+  /** Starts the next batch and clears the errors of the last one. */
   void beginBatch() {
     replies.beginBatch();
     executed = false;
@@ -61,27 +61,27 @@
     firstError = null;
   }
 
-  /** A simple query has been sent. */
+  /** Records that a simple query was sent. */
   void querySent() {
     queryStatementsDone = 0;
   }
 
-  /** The SQLSTATE of a batch's first error, or null; known until the next batch begins. */
+  /** The SQLSTATE of the current batch's first error, or null; kept until the next batch. */
   String firstError() {
     return firstError;
   }
 
-  /** Whether any statement of it has been executed, in whole or in part. */
+  /** Whether any statement of the current batch was executed, even in part. */
   boolean executed() {
     return executed;
   }
 
-  /** Whether it failed for a statement that the server had lost or whose plan no longer fitted. */
+  /** Whether the batch failed because a prepared statement was lost or its plan stale. */
   boolean statementLost() {
     return statementLost;
   }
 
-  /** Takes one message, and adds what the client hears of it. */
+  /** Handles one message and adds the frames for the client. */
   void receive(Frame f, List<Frame> toClient) throws Frame.Malformed {
     switch (f.type()) {
       case 'N' -> {
@@ -110,7 +110,7 @@
     String name = r.text();
     String value = r.text();
     if (ServerNotes.NAMES.contains(name)) {
-      return; // they change with every answer: kept, each lease would compare all anew
+      return; // they change with every reply; if kept, each lease would compare all parameters
     }
     server.report(name, value);
     if (!answersInternal() && !value.equals(client.told().get(name))) {
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Whether what comes now is on account of a message of the pooler's own. */
+  /** Whether the next expected reply is to a message of the pooler's own. */
   private boolean answersInternal() {
     return !replies.isEmpty() && replies.next().kind() == MessageKind.INTERNAL;
   }
@@ -145,7 +145,7 @@
         }
       }
       case 'C', 'I' -> statementDone(expected, reply);
-      case 's' -> { // it has run up to a row, whether or not the rest is ever fetched
+      case 's' -> { // it has run up to the row limit, whether or not the rest is fetched
         expected.statements().forEach(s -> applyToBothSides(s, ""));
         completeReply();
       }
@@ -164,7 +164,7 @@
     }
   }
 
-  /** A statement is done: what it did to the session counts from now on, on both sides. */
+  /** Applies a completed statement's effects to the state of the session and the connection. */
   private void statementDone(PendingReply reply, Frame said) throws Frame.Malformed {
     List<Statement> statements = reply.statements();
     int i = reply.kind() == MessageKind.QUERY ? queryStatementsDone++ : 0;
@@ -205,7 +205,7 @@
     boolean lost = code.equals(STATEMENT_LOST) || code.equals(STATEMENT_STALE);
     if (lost && reply.prepared() != null && reply.kind() != MessageKind.PARSE) {
       statementLost = true;
-      server.drop(reply.prepared()); // it is prepared anew when next used
+      server.drop(reply.prepared()); // it is prepared again on its next use
     }
     replies.skipToSync();
     projected.forget();
@@ -220,7 +220,7 @@
     } else {
       MessageKind step = replies.expected().kind();
       if (!step.endsBatch()) {
-        throw new Frame.Malformed("ready before the answer to " + step);
+        throw new Frame.Malformed("ReadyForQuery before the reply to " + step);
       }
       replies.removeBatchEnd();
     }
--- a/src/main/java/crankspar/pooling/StateDiff.java
+++ b/src/main/java/crankspar/pooling/StateDiff.java
@@ -7,14 +7,14 @@
 import org.pcollections.PMap;
 
 /**
- * The fewest messages that bring a server connection to a client's state. Options and SQL-level
- * statements take one simple query of several statements, and none at all where nothing differs; a
- * statement of the protocol's takes one Parse where it is used and not there.
+ * Computes the fewest messages that give a server connection a client's session state. Options and
+ * SQL-level prepared statements take one multi-statement simple query, or none if nothing differs.
+ * A protocol-level prepared statement takes one Parse, sent before its first use on a connection
+ * that lacks it.
  */
 final class StateDiff {
   /**
-   * Before one of the client's messages: what is closed, and whether its statement is prepared
-   * first.
+   * What precedes a client message: the statements to close, and whether its own must be parsed.
    */
   record PrepareSteps(List<Prepared> close, boolean parse) {
     static final PrepareSteps NONE = new PrepareSteps(List.of(), false);
@@ -23,8 +23,9 @@
   private StateDiff() {}
 
   /**
-   * The query that makes a connection's options and SQL-level statements the client's, or null
-   * where they are. A role is set last: under another one the rest might not be allowed.
+   * The query that gives a connection the client's options and SQL-level statements, or null if
+   * they already match. The role is set last, because another role may lack the permission for the
+   * other changes.
    */
   static String restoreQuery(ServerState server, SessionState client) {
     if (server.options() == client.options() && server.sqlPrepared() == client.sqlPrepared()) {
@@ -44,7 +45,7 @@
     return sql.isEmpty() ? null : String.join("; ", sql);
   }
 
-  /** A PREPARE under the options that it was first done under, and those in force after it. */
+  /** A PREPARE under the options of its first execution, which are then changed back. */
   private static List<String> prepareUnderOptions(
       SqlPrepared statement, PMap<String, String> inForce) {
     PMap<String, String> under = statement.options().values();
@@ -55,7 +56,7 @@
     return sql;
   }
 
-  /** The statements that make these options those, the role last. */
+  /** The SET and RESET statements that change one set of options to the other, role last. */
   static List<String> optionChanges(PMap<String, String> from, PMap<String, String> to) {
     if (from == to) {
       return List.of();
@@ -87,7 +88,7 @@
     return "SET " + assignment(name, value);
   }
 
-  /** The same up to the transaction's end. */
+  /** A SET that lasts until the end of the transaction. */
   static String setLocal(String name, String value) {
     return "SET LOCAL " + assignment(name, value);
   }
@@ -104,8 +105,8 @@
   }
 
   /**
-   * How far a connection is from a client: messages that it would take, so that the nearest idle
-   * one is used.
+   * The number of parts of the session state (options, SQL-level statements) in which a connection
+   * differs from a client. The idle connection with the smallest distance is used.
    */
   static int distance(ServerState server, SessionState client) {
     if (server.options() == client.options() && server.sqlPrepared() == client.sqlPrepared()) {
@@ -116,8 +117,8 @@
   }
 
   /**
-   * What a named statement needs before it is used on a connection that may hold {@code most}. The
-   * ones that have been unused for longest make room.
+   * What must be sent before a named statement is used on a connection that may hold {@code most}
+   * statements. The least recently used ones are closed to make room.
    */
   static PrepareSteps prepareSteps(ServerState server, Prepared statement, int most) {
     return server.has(statement)
--- a/src/test/java/crankspar/pooling/CopyTest.java
+++ b/src/test/java/crankspar/pooling/CopyTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * COPY FROM STDIN whose client sends a Sync with its Execute, without a look at what it executes:
- * the server ignores it, and the batch goes on to the Sync behind the data.
+ * COPY FROM STDIN by drivers that always send a Sync right after Execute. The server ignores that
+ * Sync as part of the COPY data, and the batch continues up to the Sync after the data.
  */
 class CopyTest extends HardCasesFixture {
   private static final String COPY = "COPY claims FROM STDIN";
@@ -26,7 +26,7 @@
     return stand.recording.committed(q -> q.equals(COPY));
   }
 
-  /** Guards against a wait for an answer to the Sync that the server ignores. */
+  /** Guards against an endless wait for the reply to the Sync that the server ignores. */
   @Test
   void aSyncSentWithTheExecuteOfACopyHasNoAnswer() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -42,7 +42,7 @@
     }
   }
 
-  /** Guards against a next client that hears an answer which was another's. */
+  /** Guards against a failed COPY's reply that is delivered to the connection's next client. */
   @Test
   void aCopyThatFailsIsAnsweredOnceAndLeavesNothing() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -57,7 +57,10 @@
     }
   }
 
-  /** The COPY fails before the server has read that Sync, which counts then. */
+  /**
+   * A COPY that fails before the server has read the Sync sent with it: the server answers that
+   * Sync.
+   */
   @Test
   void aCopyThatFailsAtOnceIsAnsweredByTheSyncSentWithIt() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -75,7 +78,10 @@
     }
   }
 
-  /** Guards against data that waits for an event which does not come. */
+  /**
+   * Guards against COPY data that arrives before the server's CopyInResponse and is then never
+   * forwarded, because nothing more arrives to trigger it.
+   */
   @Test
   void dataSentBeforeTheServerHasAskedForItGoesOn() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -95,7 +101,7 @@
     }
   }
 
-  /** Guards against data that is dropped as nobody has asked for it yet. */
+  /** Guards against COPY data that is dropped because the server has not started the COPY yet. */
   @Test
   void dataInOneBatchWithItsExecuteGoesOn() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -114,7 +120,7 @@
     }
   }
 
-  /** Guards against a copy that the next client's Sync commits. */
+  /** Guards against a COPY that is committed by the next client's Sync. */
   @Test
   void aCopyWhoseClientLeavesTakesNoEffect() throws Exception {
     try (var stand = new Stand(0, places(1));
--- a/src/test/java/crankspar/pooling/CutOffBatchTest.java
+++ b/src/test/java/crankspar/pooling/CutOffBatchTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A client of the extended protocol that goes, or falls silent, before its batch's Sync. */
+/** Clients of the extended protocol that disconnect or go idle before their batch's Sync. */
 class CutOffBatchTest extends HardCasesFixture {
   private static final String CUT_OFF = "INSERT INTO claims VALUES ('cut off')";
   private static final String NEXT = "INSERT INTO claims VALUES ('next')";
@@ -39,7 +39,7 @@
     return Frame.body().as('H');
   }
 
-  /** Sends a statement without its Sync, and waits until it is done, or has failed. */
+  /** Sends a statement without its Sync, and waits until it has completed or failed. */
   private static void execute(PgWire client, String sql) throws IOException {
     client.send(PgWire.parse("", sql), PgWire.bind(""), PgWire.execute(), flush());
     char type;
@@ -66,7 +66,10 @@
     assertThat(stand.recording.committed(q -> q.equals(CUT_OFF))).isZero();
   }
 
-  /** Guards against a claim that took effect by the Sync of the connection's next client. */
+  /**
+   * Guards against an unfinished batch that is committed by the Sync of the next client on the same
+   * server connection.
+   */
   @ParameterizedTest
   @EnumSource(End.class)
   void aStatementWhoseClientLeftBeforeItsSyncTakesNoEffect(End end) throws Exception {
@@ -80,7 +83,7 @@
     }
   }
 
-  /** The same behind a transaction that had ended well on the same connection. */
+  /** The same after an earlier transaction was committed on the same connection. */
   @Test
   void aStatementBehindATransactionThatEndedWellTakesNoEffectWithoutItsSync() throws Exception {
     try (var stand = new Stand(0, "databases { db { mode = session, places { most = 1 } } }")) {
@@ -95,7 +98,10 @@
     }
   }
 
-  /** Guards against a next client whose simple query the server passes over, waiting for a Sync. */
+  /**
+   * Guards against a connection that is released while the server still waits for a Sync after an
+   * error: it would skip the next client's simple query.
+   */
   @Test
   void aClientThatLeftAfterAnErrorDoesNotSilenceTheNext() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -107,7 +113,10 @@
     }
   }
 
-  /** Guards against places that are never free again: a ROLLBACK was passed over, too. */
+  /**
+   * Guards against places that are never freed: after an error without a Sync the server also skips
+   * the ROLLBACK that cleans the connection.
+   */
   @Test
   void clientsThatLeaveAfterAnErrorInABlockUseUpNoPlaces() throws Exception {
     try (var stand = new Stand(0, places(2));
@@ -122,7 +131,10 @@
     }
   }
 
-  /** Guards against a silent client that keeps its place for good. */
+  /**
+   * Guards against an idle client that occupies its place for ever because the idle timeout counts
+   * only blocks, not open batches.
+   */
   @Test
   void aSilentClientIsEndedAsIdleInTransactionWithoutABlockToo() throws Exception {
     try (var stand = new Stand(0, "limits { idle-in-transaction = 300ms }\n" + places(2));
@@ -141,7 +153,7 @@
     }
   }
 
-  /** Guards against a place that is gone for good with a server that never answers a ROLLBACK. */
+  /** Guards against a place that is lost for ever when the server never answers a ROLLBACK. */
   @Test
   void aConnectionThatDoesNotComeCleanIsClosed() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -166,7 +178,10 @@
     }
   }
 
-  /** Guards against a pinned client's next block that is ended for the age of its connection. */
+  /**
+   * Guards against a transaction timeout of a pinned client that is counted from when it got its
+   * connection and not from its current BEGIN.
+   */
   @Test
   void aPinnedClientsNextBlockHasTheWholeTime() throws Exception {
     try (var stand = new Stand(0, "limits { transaction = 500ms }\n" + places(1));
@@ -181,7 +196,10 @@
     }
   }
 
-  /** Guards against an end that a drain takes for one between two transactions. */
+  /**
+   * Guards against a drain that takes a client in an open batch for one between transactions and
+   * disconnects it.
+   */
   @Test
   void aDrainDoesNotTakeAnOpenBatchForTheTimeBetweenTransactions() throws Exception {
     try (var stand = new Stand(0, places(2));
@@ -194,7 +212,10 @@
     }
   }
 
-  /** Guards against a wait without end: behind an error the server passes over a query, too. */
+  /**
+   * Guards against an endless wait for ReadyForQuery: after an error without a Sync the server also
+   * skips a simple query.
+   */
   @Test
   void aQueryBehindAFailedMessageIsPassedOverUpToTheSync() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -208,7 +229,10 @@
     }
   }
 
-  /** Guards against a ReadyForQuery that answers no Sync, so that all later answers are one off. */
+  /**
+   * Guards against a ReadyForQuery that answers no Sync, which would shift all later replies by
+   * one.
+   */
   @Test
   void aBatchThatCannotBeginIsPassedOverUpToItsSync() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -226,7 +250,9 @@
     }
   }
 
-  /** A crowd of such clients costs a connection each, and no claim. */
+  /**
+   * Several clients cut off at once lose their connections, and none of their writes is committed.
+   */
   @Test
   void aCrowdOfCutOffClientsLeavesNoTrace() throws Exception {
     try (var stand = new Stand(0, places(4));
--- a/src/test/java/crankspar/pooling/ExchangeTest.java
+++ b/src/test/java/crankspar/pooling/ExchangeTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What goes on of each side's messages, step by step and without a socket. */
+/** Steps an exchange frame by frame, without a socket, and checks what is forwarded each way. */
 class ExchangeTest {
   private final SessionState client = SessionState.of(Map.of());
   private final ServerState server = new ServerState();
--- a/src/test/java/crankspar/pooling/HardCasesFixture.java
+++ b/src/test/java/crankspar/pooling/HardCasesFixture.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** What the tests of hard cases have in common. */
+/** Helpers shared by the tests of pooling edge cases. */
 abstract class HardCasesFixture {
   static String places(int most) {
     return "databases { db { places { most = " + most + " } } }";
--- a/src/test/java/crankspar/pooling/HardCasesTest.java
+++ b/src/test/java/crankspar/pooling/HardCasesTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The failures that the pooling front is for, each one caused. */
+/** Provokes the failures that the pooling front has to handle. */
 class HardCasesTest extends HardCasesFixture {
   // ---- 1. Prepared statements.
   @Test
@@ -33,7 +33,7 @@
         assertThat(use(b, "s", "2")).isEqualTo("2 D:of b|2 C:SELECT 1 Z:I");
       }
       assertThat(stand.recording.prepares.get()).isEqualTo(2);
-      // The one that it goes to next has never seen it.
+      // The new server connection does not have the statement.
       stand.primary.cutAll();
       assertThat(use(a, "s", "3")).isEqualTo("2 D:of a|3 C:SELECT 1 Z:I");
       a.send(PgWire.parse("s", "SELECT 9"), PgWire.sync());
@@ -51,7 +51,7 @@
       assertThat(use(a, "s", "2")).isEqualTo("2 D:x|2 C:SELECT 1 Z:I");
       stand.primary.stalePlans();
       assertThat(use(a, "s", "3")).isEqualTo("2 D:x|3 C:SELECT 1 Z:I");
-      // Inside a block it is the client's to hear; the block is lost, the statement is not.
+      // Inside a block the client gets the error; the block is lost, but not the statement.
       assertThat(a.ask("BEGIN")).isEqualTo("C:BEGIN Z:T");
       stand.primary.dropStatements();
       assertThat(use(a, "s", "4")).isEqualTo("E:26000 Z:E");
@@ -60,8 +60,11 @@
     }
   }
 
-  // ---- 2. A trade-claim that is cut.
-  /** Fires once, at the nth message of a type, before or after it was done, or within it. */
+  // ---- 2. Connections lost during a trade-claim transaction.
+  /**
+   * Cuts the connection once, at the nth message of a type: before it, within it, or after it was
+   * executed.
+   */
   private static final class Cut implements Fault {
     final String when;
     final char type;
@@ -107,8 +110,8 @@
   }
 
   /**
-   * Plays one claim; what the client heard last, in brief, with {@code END} where its connection
-   * ended.
+   * Runs one claim transaction and returns the abbreviated replies; the last one contains {@code
+   * END} if the connection was closed.
    */
   private static List<String> claim(Stand stand, String key, boolean extended) throws IOException {
     var heard = new ArrayList<String>();
@@ -161,7 +164,7 @@
             } else {
               assertThat(last).as(where).contains("E:08007");
             }
-            // Before its COMMIT is out it is known to have had no effect.
+            // If the COMMIT was not sent, the outcome is known: the claim had no effect.
             assertThat(last.contains("E:08007") && heard.size() < 3).as(where).isFalse();
           }
         }
--- a/src/test/java/crankspar/pooling/OwnConnectionTest.java
+++ b/src/test/java/crankspar/pooling/OwnConnectionTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a client is owed is what a connection of its own would have given it: drawn programs of
- * clients that share few connections are played through the pooler and, each client on a connection
- * of its own, straight at a second stand-in. Answers and effects have to be the same.
+ * Compares pooled connections with dedicated ones. Random programs of several clients run through
+ * the pooler on few shared connections, and also directly against a second stand-in with one
+ * connection per client. Answers and effects have to be the same.
  */
 class OwnConnectionTest extends HardCasesFixture {
-  /** More by hand: {@code mvn test -Dtest=OwnConnectionTest -Dpooling.seeds=2000}. */
+  /** For a longer manual run: {@code mvn test -Dtest=OwnConnectionTest -Dpooling.seeds=2000}. */
   private static final int SEEDS = Integer.getInteger("pooling.seeds", 100);
 
   private static final int CLIENTS = 4;
@@ -30,7 +30,7 @@
   private static final Frame COPY_DONE = Frame.body().as('c');
   private static final Frame FETCH_ONE = Frame.body().text("").int32(1).as('E');
 
-  /** One client, and how far into a batch it is. */
+  /** One client with its two connections and its state within a batch. */
   private static final class Client {
     final String zone;
     PgWire pooled;
@@ -38,7 +38,7 @@
     boolean batchOpen;
     boolean failed;
 
-    /** As the last ReadyForQuery told it. */
+    /** According to the last ReadyForQuery. */
     boolean inBlock;
 
     Client(String zone) {
@@ -52,7 +52,7 @@
   private InetSocketAddress database;
   private int claims;
 
-  /** Mode session: each client keeps its connection, which is not cut then. */
+  /** Session mode: each client keeps its connection, and connections are not cut. */
   private boolean session;
 
   private void connect(Client client) throws IOException {
@@ -92,7 +92,7 @@
     };
   }
 
-  /** A message that a batch of the extended protocol consists of. */
+  /** One step of an extended-protocol batch: one or a few messages. */
   private Frame[] extended() {
     String name = any(NAMES);
     return switch (random.nextInt(5)) {
@@ -114,7 +114,7 @@
     };
   }
 
-  /** A COPY with its data in one piece, by a client that looks at no answer in between. */
+  /** Sends a COPY with its data in one piece, without waiting for replies in between. */
   private void copy(Client client, int who) throws Exception {
     String sql = "COPY claims FROM STDIN /* " + ++claims + " */";
     var frames = new ArrayList<Frame>();
@@ -122,7 +122,7 @@
     if (early || random.nextBoolean()) {
       frames.addAll(List.of(PgWire.parse("", sql), PgWire.bind(""), PgWire.execute()));
       frames.addAll(early ? List.of(PgWire.sync()) : List.of());
-      // Closed at once: run again without data, it would wait for some for ever.
+      // Closes the portal at once: if executed again without data, it would wait for ever.
       frames.addAll(List.of(PgWire.copyData("1\n"), COPY_DONE));
       frames.addAll(List.of(Frame.close('S', ""), PgWire.sync()));
     } else {
@@ -136,7 +136,7 @@
     client.own.send(sent);
     String expected = PgWire.brief(client.own.untilReady());
     String heard = PgWire.brief(client.pooled.untilReady());
-    if (early && expected.contains("E:")) { // no COPY has begun, and both Syncs count
+    if (early && expected.contains("E:")) { // no COPY was started, so both Syncs are answered
       expected += PgWire.brief(client.own.untilReady());
       heard += PgWire.brief(client.pooled.untilReady());
     }
@@ -175,12 +175,12 @@
     client.failed = !ends && (client.failed || expected.contains("E:"));
   }
 
-  /** Whole answers to these, one for each message but the Flush. */
+  /** The number of complete replies to expect, one for each message except the Flush. */
   private static int answers(List<Frame> frames) {
     return frames.size() - 1;
   }
 
-  /** So many answers, or all up to an error. */
+  /** Reads this number of complete replies, or all up to an error. */
   private static String some(PgWire wire, int answers) throws IOException {
     var all = new ArrayList<Frame>();
     for (int left = answers; left > 0; ) {
@@ -247,7 +247,7 @@
     assertThat(effects(stand.recording)).as(String.join("\n", program)).isEqualTo(effects(own));
   }
 
-  /** Guards against a session, a statement or a transaction that is any other client's. */
+  /** Guards against a client that sees another client's session state, statement or transaction. */
   @Test
   void sharedConnectionsAnswerAsConnectionsOfTheirOwn() throws Exception {
     for (int seed = 1; seed <= SEEDS; seed++) {
--- a/src/test/java/crankspar/pooling/ProgramsTest.java
+++ b/src/test/java/crankspar/pooling/ProgramsTest.java
@@ -21,10 +21,10 @@
 import net.jqwik.api.lifecycle.BeforeContainer;
 
 /**
- * Random programs of several clients on few connections, with cuts among them, against an oracle
- * over what the stand-in recorded: each statement ran under its client's options and text, no write
- * ran twice, every command got one answer or a clean end, and nothing of one client reached
- * another.
+ * Runs random programs of several clients that share few server connections, some of which are cut.
+ * An oracle checks what the stand-in recorded: each statement ran with its client's options and
+ * text, no write ran twice, every command got one answer or a clean disconnect, and no state of one
+ * client reached another.
  */
 class ProgramsTest {
   private static final Map<String, List<String>> OPTIONS =
@@ -48,7 +48,7 @@
     stand.close();
   }
 
-  /** A client with the model of what it should find. */
+  /** A client with a model of its expected session state. */
   private static final class Client {
     PgWire wire;
     Map<String, String> now = new TreeMap<>();
@@ -66,7 +66,7 @@
       block = failed = false;
     }
 
-    /** One answer with ReadyForQuery, or a clean end, after which it connects anew. */
+    /** Reads one answer up to ReadyForQuery, or a clean disconnect, after which it reconnects. */
     String heard() throws IOException {
       List<Frame> frames = wire.untilReady();
       String brief = PgWire.brief(frames);
@@ -125,7 +125,8 @@
       case 0, 1 -> set(c, random);
       case 2 -> {
         if (!c.block
-            && !busy) { // one place for blocks, one for all else: nobody waits for a block's end
+            && !busy) { // one place for a block, one for the rest, so that none waits for a block
+          // to end
           c.wire.send(Frame.query("BEGIN"));
           c.block = c.heard().equals("C:BEGIN Z:T");
           c.failed = false;
@@ -157,7 +158,7 @@
       case 5 -> {
         if (c.block) {
           c.wire.send(Frame.query("SELECT raise('22012')"));
-          boolean failed = c.heard().endsWith("Z:E"); // it may have connected anew
+          boolean failed = c.heard().endsWith("Z:E"); // it may have reconnected
           c.failed |= failed;
         }
       }
@@ -192,7 +193,7 @@
     expect(c, mark, settings, write, write ? "" : mark, expected);
   }
 
-  /** Names are shared by all clients, texts are not. */
+  /** Clients use the same statement names for different texts. */
   private static void prepared(Client c, String mark, Random random, List<Expected> expected)
       throws IOException {
     String name = "s" + random.nextInt(3);
--- a/src/test/java/crankspar/pooling/ProgressTest.java
+++ b/src/test/java/crankspar/pooling/ProgressTest.java
@@ -6,12 +6,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What may follow a break, at every step of a transaction. */
+/** The outcome of losing the connection, at every step of a transaction. */
 class ProgressTest {
   /**
-   * A program: SQL goes out (and {@code !} its last byte has left; {@code ?} of several messages,
-   * some have), {@code I T E} the server is ready so, {@code =TAG} an answer, {@code >} something
-   * was shown.
+   * Each case is a program and its outcome. Steps: SQL that is sent as one message, or with {@code
+   * ?} as part of a batch of several messages; {@code !} the last byte of the batch was written;
+   * {@code I}, {@code T}, {@code E} ReadyForQuery with that status; {@code =TAG} a command tag;
+   * {@code >} part of the reply was sent to the client.
    */
   @ParameterizedTest
   @CsvSource(
--- a/src/test/java/crankspar/pooling/RefusedBatchTest.java
+++ b/src/test/java/crankspar/pooling/RefusedBatchTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** An error of the pooler's own in the midst of a batch, as a server's would be. */
+/** A message that the pooler rejects within a batch aborts the batch as a server error would. */
 class RefusedBatchTest extends HardCasesFixture {
   private static final String CLAIM = "INSERT INTO claims VALUES (1)";
   private static final String SETUP = "pins { listen = refuse }\n limits { statements = 1 }\n";
 
-  /** Guards against a statement that took effect though its batch was answered with an error. */
+  /** Guards against a statement that takes effect although its batch was answered with an error. */
   @ParameterizedTest
   @CsvSource({"LISTEN news, 0A000", "SELECT 2, 53400"})
   void whatRanBeforeARefusalInItsBatchTakesNoEffect(String refused, String code) throws Exception {
@@ -34,7 +34,7 @@
     }
   }
 
-  /** The same by a simple query that is refused behind messages without a Sync. */
+  /** The same with a rejected simple query after messages without a Sync. */
   @Test
   void aRefusedQueryUndoesTheBatchInFrontOfIt() throws Exception {
     try (var stand = new Stand(0, SETUP + places(1));
--- a/src/test/java/crankspar/pooling/UnknownOutcomeTest.java
+++ b/src/test/java/crankspar/pooling/UnknownOutcomeTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A connection that breaks behind a COMMIT whose answer its client has not heard. */
+/** The server connection is lost after a COMMIT whose reply the client has not received. */
 class UnknownOutcomeTest extends HardCasesFixture {
   private static final String CLAIM = "INSERT INTO claims VALUES (1)";
 
-  /** Cuts a connection in place of the answer to a message of this type that has this tag. */
+  /** Cuts the connection instead of sending the reply with this tag to a message of this type. */
   private static Fault cutBefore(char answered, String answer) {
     return new Fault() {
       @Override
@@ -26,7 +26,10 @@
     return stand.recording.committed(q -> q.strip().equals(CLAIM));
   }
 
-  /** Guards against "no effect" for a COMMIT that other statements of its text stand behind. */
+  /**
+   * Guards against an error that claims "no effect" although the query text contained a COMMIT
+   * followed by other statements.
+   */
   @Test
   void aCommitAmongStatementsOfOneTextMayHaveTakenEffect() throws Exception {
     try (var stand = new Stand(0, places(1));
@@ -38,7 +41,10 @@
     }
   }
 
-  /** Guards against "no effect" for a COMMIT that its client has sent with a Flush. */
+  /**
+   * Guards against an error that claims "no effect" although a COMMIT was sent with a Flush, before
+   * its Sync.
+   */
   @Test
   void aCommitBeforeItsSyncMayHaveTakenEffect() throws Exception {
     try (var stand = new Stand(0, places(1));
