--- a/src/main/java/crankspar/pooling/Client.java
+++ b/src/main/java/crankspar/pooling/Client.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A client connection. It collects the messages that open a transaction, submits them as one request, and forwards what
- * follows while it holds a server connection. Each command gets one answer, in order; otherwise the connection is closed
- * with an error.
+/**
+ * A client connection. It submits the messages that open a transaction as one request and forwards the rest
+ * on its server connection. Each command gets one answer, in order, or the connection is closed with an error.
  */
 final class Client implements ConnectionHandler, Ports.Reply<Answer> {
     private static final int MAX_HELD_BYTES = 64 * 1024;
@@ -29,7 +29,7 @@
     private String user;
     private SessionState session;
     private final Login login;
-    /** Frames received but not yet processed; their bytes count against the limit for all clients together. */
+    /** Frames received but not yet processed; their bytes count against the limit shared by all clients. */
     private final FrameQueue held = new FrameQueue();
     private int accountedBytes;
     private final BatchCollector collector;
@@ -65,7 +65,7 @@
     OpeningBatch opening() { return opening; }
     Lease lease() { return lease; }
     long transactions() { return transactions; }
-    /** The earliest time (ms) the opening batch may have arrived, or the start of the client's state if that is later. */
+    /** When (ms) the opening batch arrived at the earliest, or became next in line if that is later. */
     double requestedAt() { return requestedAt; }
 
     /** The client's database in the current configuration, or null if it was removed. */
@@ -161,7 +161,8 @@
     }
 
     private boolean canProceed() {
-        return lease != null ? !lease.awaitingReady() && serverWritable : state == ClientState.IDLE && opening == null;
+        return lease != null ? !lease.awaitingReady() && serverWritable
+                : state == ClientState.IDLE && opening == null;
     }
 
     private void accountBytes() {
@@ -173,7 +174,7 @@
         }
     }
 
-    /** Stops reading from the client while too much is queued; the queue always has room for a whole message. */
+    /** Stops reading from the client while too much is queued; a whole message always fits the queue. */
     private void updateReading() {
         boolean wanted = held.bytes() <= MAX_HELD_BYTES && serverWritable;
         if (wanted != reading) {
@@ -293,9 +294,9 @@
         enter(ClientState.IDLE);
         if (answer instanceof FinalAnswer.Served<Answer> s) {
             transactions++;
-            collector.skip(!begun && !answered.whole); // the batch could not begin and its Sync is still to come
+            collector.skip(!begun && !answered.whole); // the batch did not begin; its Sync is still to come
             write(s.answer().frames());
-        } else if (begun) { // only a FATAL error tells the client that the next command starts a new transaction
+        } else if (begun) { // only FATAL tells the client that the next command starts a new transaction
             context.count(answered.outcome == Progress.Outcome.UNKNOWN ? "pooling_unknown" : "pooling_broken");
             end(LostConnection.error("FATAL", answered.outcome, "during a transaction"));
             return;
@@ -316,8 +317,9 @@
     }
 
     // ---- Cancel and disconnect.
-    /** Handles a cancel request. It arrived on another connection, which may have been read before this one, so what the
-     * client sent earlier is read first.
+    /**
+     * Handles a cancel request. It arrived on another connection, which may have been read before this one,
+     * so what the client sent earlier is read first.
      */
     void cancelled() {
         if (!present() || state == ClientState.LOGIN) {
@@ -335,7 +337,7 @@
             context.cancel(server);
             return;
         }
-        boolean whole = opening.whole; // still waiting for a place or an attempt
+        boolean whole = opening.whole; // only waits, no server has it: end the wait here
         opening = null;
         context.withdraw(this);
         request = null;
@@ -360,8 +362,8 @@
 
     /** Whether the client is between two transactions, with no partly received message. */
     boolean idle() {
-        return state == ClientState.IDLE && held.isEmpty() && collector.isEmpty() && decoder.empty() || lease != null && lease.betweenTransactions()
-                && held.isEmpty() && decoder.empty();
+        return state == ClientState.IDLE && held.isEmpty() && collector.isEmpty() && decoder.empty()
+                || lease != null && lease.betweenTransactions() && held.isEmpty() && decoder.empty();
     }
 
     void closeIfIdle() {
--- a/src/main/java/crankspar/pooling/Exchange.java
+++ b/src/main/java/crankspar/pooling/Exchange.java
@@ -244,6 +244,7 @@
     return false;
   }
 
+  /** Rejects another statement if the client already holds as many as the limits allow. */
   private boolean exceedsStatementLimits(int bytes) {
     boolean over =
         client.statements() >= limits.statements()
