--- a/src/main/java/crankspar/pooling/AdmissionQueue.java
+++ b/src/main/java/crankspar/pooling/AdmissionQueue.java
@@ -8,21 +8,23 @@
 import java.util.Map;
 
 /**
- * Turns at one database's places. A transaction takes a place before the module hears of it and
- * keeps it to its end, so that there are never more connections at work than places. Those who wait
- * are served first come, first served within a user; between users the one that holds fewest goes
- * first, so that no user's burst starves another. A wait ends with its deadline. It knows no socket
- * and no clock: each call tells the time (ms) and hands out what follows.
+ * Admission control for one database: a fixed number of slots and a fair queue for them. A
+ * transaction acquires a slot before it is submitted to the decision module and holds it to its
+ * end, so that never more connections are in use than there are slots. Requests of one user are
+ * granted first come, first served; between users, the one that holds the fewest slots goes first,
+ * so that a burst of one user cannot starve another. A waiting request is refused at its deadline.
+ * The class uses no sockets and no clock: each call passes the time (ms) and returns the decisions
+ * that follow.
  */
 final class AdmissionQueue {
-  /** What follows for one who asked. */
+  /** The decision on one request. */
   sealed interface Decision {
     long ticket();
 
-    /** It has a place now, after so long a wait (ms). */
+    /** The request holds a slot now; it waited {@code waitMs}. */
     record Granted(long ticket, double waitMs) implements Decision {}
 
-    /** It has none, and waits no more. */
+    /** The request got no slot and has left the queue. */
     record Refused(long ticket, String reason) implements Decision {}
   }
 
@@ -46,7 +48,7 @@
     configure(database, maxWaiting);
   }
 
-  /** Changed settings hold for turns to come; nobody loses the place that it has. */
+  /** Applies changed settings to future grants; slots already held are not revoked. */
   void configure(Setup.Database database, int maxWaiting) {
     this.database = database;
     this.maxWaiting = maxWaiting;
@@ -72,7 +74,7 @@
     return paused;
   }
 
-  /** The longest wait (ms) of all that ended with a place. */
+  /** The longest wait (ms) that ended with a slot. */
   double longestWait() {
     return longestWait;
   }
@@ -81,7 +83,9 @@
     return granted;
   }
 
-  /** Asks for a place until {@code deadline}. */
+  /**
+   * Requests a slot and waits for it until {@code deadline}; refuses at once if the queue is full.
+   */
   List<Decision> acquire(double now, String user, long ticket, double deadline) {
     if (waiting >= maxWaiting) {
       return List.of(new Decision.Refused(ticket, "more than " + maxWaiting + " clients wait"));
@@ -94,7 +98,7 @@
     return grantWaiting(now);
   }
 
-  /** A transaction has ended, and its place is free. */
+  /** Releases the slot of a transaction that has ended. */
   List<Decision> release(double now, long ticket) {
     String user = holders.remove(ticket);
     if (user != null) {
@@ -104,7 +108,7 @@
     return grantWaiting(now);
   }
 
-  /** One who waits has gone; one who holds a place must free it instead. */
+  /** Removes a waiting request; a slot that is already held must be released instead. */
   void cancel(String user, long ticket) {
     UserQueue u = users.get(user);
     if (u != null && u.waiters.removeIf(w -> w.ticket() == ticket)) {
@@ -113,7 +117,9 @@
     }
   }
 
-  /** Nothing new begins until it resumes; who waits does so until its deadline. */
+  /**
+   * Stops granting slots until {@link #resume}; waiting requests still expire at their deadline.
+   */
   void pause() {
     paused = true;
   }
@@ -123,13 +129,17 @@
     return grantWaiting(now);
   }
 
-  /** Called now and then: waits that are over, and the reserve for those who have waited long. */
+  /**
+   * Refuses requests whose deadline has passed, and grants reserve slots to those that have waited
+   * long enough. Must be called periodically.
+   */
   List<Decision> expireAndGrant(double now) {
     var decisions = new ArrayList<Decision>();
     for (UserQueue u : new ArrayList<>(users.values())) {
       while (!u.waiters.isEmpty() && u.waiters.peek().deadline() <= now) {
         decisions.add(
-            new Decision.Refused(u.waiters.poll().ticket(), "no place came free in time"));
+            new Decision.Refused(
+                u.waiters.poll().ticket(), "no connection slot became free in time"));
         waiting--;
       }
     }
@@ -155,7 +165,8 @@
       u.waiters.poll();
       waiting--;
       if (next.deadline() <= now) {
-        decisions.add(new Decision.Refused(next.ticket(), "no place came free in time"));
+        decisions.add(
+            new Decision.Refused(next.ticket(), "no connection slot became free in time"));
         removeIfEmpty(next.user());
         continue;
       }
@@ -169,8 +180,9 @@
   }
 
   /**
-   * Of the users with somebody in line and room of their own: who holds fewest, then whose first
-   * waits longest.
+   * The next request to be granted. Among users below their own limit, the one that holds the
+   * fewest slots goes first, then the one whose first request has waited longest. When all regular
+   * slots are taken, a reserve slot goes to the longest waiting request.
    */
   private Waiter nextWaiter(double now) {
     Waiter best = null;
--- a/src/main/java/crankspar/pooling/ConnectionReset.java
+++ b/src/main/java/crankspar/pooling/ConnectionReset.java
@@ -3,27 +3,27 @@
 import java.util.List;
 
 /**
- * What a server connection goes through between two clients: queries of the pooler's own, and the
- * time until no cancel that was sent for the last client can reach the next one.
+ * The reset of a server connection between two clients: the pooler's reset queries, and the wait
+ * until no cancel request that was sent for the last client can hit a statement of the next one.
  */
 final class ConnectionReset {
-  /** Where it stands after a step. */
+  /** Progress of the reset after a message. */
   enum Outcome {
-    /** Something is still to come. */
+    /** Replies or cancel requests are still outstanding. */
     IN_PROGRESS,
-    /** Nothing of the last client is left. */
+    /** Nothing of the last client is left on the connection. */
     CLEAN,
-    /** The connection is of no more use. */
+    /** The reset failed; the connection must be closed. */
     FAILED
   }
 
-  /** SQLSTATE of a statement that a cancel stopped. */
+  /** SQLSTATE of a statement that was stopped by a cancel request. */
   private static final String QUERY_CANCELED = "57014";
 
   private int pendingQueries;
   private int pendingCancels;
 
-  /** A cancel may still come, at a time that nobody knows. */
+  /** Whether a cancel request may still arrive, at an unknown time. */
   private boolean cancelInDoubt;
 
   int pendingCancels() {
@@ -34,14 +34,14 @@
     return cancelInDoubt;
   }
 
-  /** The queries that roll back what is open and, with {@code session}, all of its session. */
+  /** Starts a reset and returns its queries; {@code resetSession} adds DISCARD ALL to ROLLBACK. */
   List<Sql.Statement> begin(boolean resetSession) {
     List<Sql.Statement> queries = Sql.split(resetSession ? "ROLLBACK; DISCARD ALL" : "ROLLBACK");
     pendingQueries = queries.size();
     return queries;
   }
 
-  /** A message of the server's while it is cleaned, or kept apart. */
+  /** Handles a server message that arrives during the reset or the wait for a cancel request. */
   Outcome onMessage(Frame f) throws Frame.Malformed {
     if (f.type() == 'E' && !QUERY_CANCELED.equals(f.fields().get('C'))) {
       return Outcome.FAILED;
@@ -56,18 +56,25 @@
     return status == 'I' ? Outcome.CLEAN : Outcome.FAILED;
   }
 
-  /** A cancel for the connection's present client is on its way. */
+  /** A cancel request for the connection's current client was sent. */
   void cancelSent() {
     pendingCancels++;
   }
 
-  /** That cancel has passed; {@code sure} where the server itself ended its connection. */
+  /**
+   * A cancel request is finished; {@code confirmed} if the server closed its connection, after
+   * which it sends no further signal.
+   */
   void cancelFinished(boolean confirmed) {
     pendingCancels--;
     cancelInDoubt |= !confirmed;
   }
 
-  /** Whether nothing more is awaited but what an empty query takes of a cancel that has passed. */
+  /**
+   * Returns whether an empty query must be sent now, and counts it as pending. That is so once all
+   * cancel requests and reset queries are finished: the empty query absorbs a cancel signal that
+   * the server has not yet acted on, which would otherwise hit the next client's statement.
+   */
   boolean tryBeginEmptyQuery() {
     boolean due = pendingCancels == 0 && pendingQueries == 0;
     pendingQueries += due ? 1 : 0;
--- a/src/main/java/crankspar/pooling/ConnectionState.java
+++ b/src/main/java/crankspar/pooling/ConnectionState.java
@@ -1,16 +1,16 @@
 package crankspar.pooling;
 
-/** Where a connection to a server can be, by the names of SHOW servers. */
+/** The states of a server connection, as printed by {@code SHOW servers}. */
 enum ConnectionState {
-  /** Dialled, and not welcomed yet. */
+  /** Connecting, or logging in. */
   LOGIN,
-  /** Free for anybody. */
+  /** Not in use; can serve any client of its key. */
   IDLE,
-  /** Brought to a client's state, before its transaction. */
+  /** The client's options and statements are being applied, before its transaction starts. */
   CARRYING,
-  /** A client has it. */
+  /** In use by a client. */
   ACTIVE,
-  /** Cleaned, or kept apart until a cancel has passed. */
+  /** Being reset after use, or waiting until a cancel request is finished. */
   TESTED,
   CLOSED
 }
--- a/src/main/java/crankspar/pooling/Console.java
+++ b/src/main/java/crankspar/pooling/Console.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * What operators ask the front itself, as database {@code crankspar}: tables of what is, PAUSE and
- * RESUME.
+ * The admin console, reached as database {@code crankspar}: SHOW for tables of the current state,
+ * PAUSE and RESUME.
  */
 final class Console {
   private static final int MAX_ROWS = 10_000;
@@ -18,11 +18,11 @@
     this.front = front;
   }
 
-  /** The answer without its ReadyForQuery, or null where this is no command. */
-  List<Frame> answer(String sql) {
+  /** Returns the reply without its ReadyForQuery, or null if this is not a console command. */
+  List<Frame> execute(String sql) {
     String[] words = sql.strip().replaceAll(";+\\s*$", "").split("\\s+");
-    String first = words[0].toUpperCase(Locale.ROOT);
-    if (first.equals("SHOW") && words.length == 2) {
+    String command = words[0].toUpperCase(Locale.ROOT);
+    if (command.equals("SHOW") && words.length == 2) {
       return switch (words[1].toLowerCase(Locale.ROOT)) {
         case "pools" -> pools();
         case "clients" -> clients();
@@ -41,9 +41,9 @@
         default -> null;
       };
     }
-    if ((first.equals("PAUSE") || first.equals("RESUME")) && words.length == 2) {
-      return front.pause(words[1], first.equals("PAUSE"))
-          ? List.of(Frame.complete(first))
+    if ((command.equals("PAUSE") || command.equals("RESUME")) && words.length == 2) {
+      return front.setPaused(words[1], command.equals("PAUSE"))
+          ? List.of(Frame.complete(command))
           : List.of(
               Frame.error(
                   "ERROR", "3D000", "database \"" + words[1] + "\" is not set up here", null));
@@ -127,7 +127,7 @@
     double now = front.now();
     for (Client c : front.clients()) {
       Server s = c.opening() == null ? null : c.opening().server;
-      boolean has = s != null && s.opening() == c.opening();
+      boolean attached = s != null && s.opening() == c.opening();
       rows.add(
           List.of(
               text(c.process()),
@@ -136,7 +136,7 @@
               text(c.state()).toLowerCase(Locale.ROOT),
               ms(now - c.since()),
               text(c.transactions()),
-              has ? s.member() : "",
+              attached ? s.member() : "",
               c.session() == null ? "" : text(c.session().statements()),
               c.session() == null
                   ? ""
@@ -191,18 +191,18 @@
         rows);
   }
 
-  /** By text and options: on how many server connections, and for how many clients. */
+  /** Each prepared statement with the numbers of server connections and of clients that hold it. */
   private List<Frame> statements() {
-    var on = new TreeMap<String, int[]>();
-    var known = new TreeMap<String, Prepared>();
+    var counts = new TreeMap<String, int[]>();
+    var byName = new TreeMap<String, Prepared>();
     for (Server s : front.servers().connections()) {
       s.sessionState()
           .statementsByName()
           .values()
           .forEach(
               p -> {
-                on.computeIfAbsent(p.name(), k -> new int[2])[0]++;
-                known.put(p.name(), p);
+                counts.computeIfAbsent(p.name(), k -> new int[2])[0]++;
+                byName.put(p.name(), p);
               });
     }
     for (Client c : front.clients()) {
@@ -212,15 +212,15 @@
             .values()
             .forEach(
                 p -> {
-                  on.computeIfAbsent(p.name(), k -> new int[2])[1]++;
-                  known.put(p.name(), p);
+                  counts.computeIfAbsent(p.name(), k -> new int[2])[1]++;
+                  byName.put(p.name(), p);
                 });
       }
     }
     var rows = new ArrayList<List<String>>();
-    on.forEach(
+    counts.forEach(
         (name, n) -> {
-          Prepared p = known.get(name);
+          Prepared p = byName.get(name);
           rows.add(List.of(name, text(n[0]), text(n[1]), p.sql(), p.options().toString()));
         });
     return table("SHOW", List.of("name", "servers", "clients", "text", "options"), rows);
--- a/src/main/java/crankspar/pooling/ConsoleSession.java
+++ b/src/main/java/crankspar/pooling/ConsoleSession.java
@@ -3,14 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One client of the console: simple queries, answered by the front itself. */
+/** One client session on the admin console; the front answers its simple queries itself. */
 final class ConsoleSession {
-  /** The name under which the front itself answers. */
+  /** The database name that selects the console. */
   static final String NAME = "crankspar";
 
   private final ClientDesk desk;
 
-  /** A message of the extended protocol was refused; nothing is said up to its sync. */
+  /**
+   * Whether a message of the extended protocol was refused; messages up to its Sync are ignored.
+   */
   private boolean skipping;
 
   ConsoleSession(ClientDesk desk) {
--- a/src/main/java/crankspar/pooling/IdleList.java
+++ b/src/main/java/crankspar/pooling/IdleList.java
@@ -5,13 +5,13 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Which idle connection is used next, and which are kept: without sockets, clocks or chance of its
- * own.
+ * Selects which idle connection is used next and which are closed. The functions are pure: they use
+ * no sockets, clock or random numbers of their own.
  */
 final class IdleList {
   /**
-   * One idle connection: since when it is open, since when idle (ms), and its own jitter from 0 to
-   * 1.
+   * An idle connection: when it was opened, since when it is idle (both ms), and its random
+   * lifetime jitter from 0 to 1.
    */
   interface IdleConnection {
     double openedAt();
@@ -22,16 +22,16 @@
   }
 
   /**
-   * Lifetimes differ by up to this share either way: connections opened together do not end
-   * together.
+   * Lifetimes vary by up to this fraction in either direction, so that connections that were opened
+   * together are not closed together.
    */
   static final double LIFETIME_JITTER = 0.1;
 
   private IdleList() {}
 
   /**
-   * The one nearest to a client's state, of these the one used last: its caches are warm and the
-   * others may age.
+   * Returns the connection that is closest to the client's state; among equals, the most recently
+   * used one: its caches are warm, and the others can reach their idle timeout.
    */
   static <T extends IdleConnection> T choose(List<T> idle, ToIntFunction<T> distance) {
     T best = null;
@@ -49,8 +49,8 @@
   }
 
   /**
-   * The idle ones to be closed now. Past its lifetime one goes in any case, past its idle time
-   * beyond the least.
+   * Returns the idle connections to close now: each one past its lifetime, and those past the idle
+   * timeout as long as more than {@code minIdle} connections remain.
    */
   static <T extends IdleConnection> List<T> expired(
       List<T> idle, Setup.PoolLimits limits, int open, double now) {
@@ -66,7 +66,7 @@
     return expired;
   }
 
-  /** Whether a connection is past its lifetime, which is its own. */
+  /** Whether a connection is past its maximum lifetime, adjusted by its own jitter. */
   static boolean pastLifetime(IdleConnection connection, Setup.PoolLimits limits, double now) {
     return now - connection.openedAt()
         > limits.maxLifetime() * (1 - LIFETIME_JITTER + 2 * LIFETIME_JITTER * connection.jitter());
--- a/src/main/java/crankspar/pooling/PoolingFront.java
+++ b/src/main/java/crankspar/pooling/PoolingFront.java
@@ -28,11 +28,13 @@
 import org.pcollections.PMap;
 
 /**
- * The pooling front: its clients, their turns, and the requests that their transactions are. What becomes of a request
- * the module decides, under the same rules as on every front.
+ * The pooling front. It accepts clients, queues their transactions for connection slots and submits each one
+ * as a request to the core. The decision module handles these requests by the same rules as on every front.
  */
 public final class PoolingFront implements Front, ClientDesk {
+    /** How often waits, logins and transactions are checked against their limits. */
     private static final double SWEEP_INTERVAL_MS = 50;
+    /** The delay before the listener is reopened after a failure. */
     private static final double LISTEN_RETRY_MS = 50;
 
     private final EventLoop loop;
@@ -64,14 +66,19 @@
         this.servers = servers;
         this.setup = setup;
         route = new Route(settings);
-        setup.databases().values().forEach(d -> queues.put(d.name(), new AdmissionQueue(d, setup.limits().maxWaiting())));
+        setup.databases().values().forEach(
+                d -> queues.put(d.name(), new AdmissionQueue(d, setup.limits().maxWaiting())));
         loop.after(SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    /** A front with its core: the caller feeds both with members. */
+    /** A front with its core and connections; the caller passes member updates to both. */
     public record Parts(PoolingFront front, Pooler<?, ?> core, MemberAddresses connections) { }
 
-    /** Session marks are kept here, by client, and carried with each request; {@code servers} bounds connections to servers. */
+    /**
+     * Builds a front with its core. Session marks are kept per client and sent with each request.
+     *
+     * @param servers the maximum number of connections to servers
+     */
     public static Parts build(EventLoop loop, Router.Settings settings, Counters counters, Ports.Discovery discovery,
                               BiFunction<Router.Settings, Router.Actions, Router> routerFactory, Setup setup, int servers) {
         var coreSettings = new Router.Settings(settings.seed(), settings.zone(), settings.zones(), settings.me(), settings.siblings(),
@@ -92,7 +99,7 @@
         return address;
     }
 
-    /** Changed settings, without losing a client; what they say of the listener holds from the next start on. */
+    /** Applies changed settings without losing clients; listener settings take effect at the next start. */
     public void reload(Setup changed) {
         setup = changed;
         servers.configure(changed);
@@ -108,7 +115,7 @@
         counters.add("pooling_reloads");
     }
 
-    /** A handler for a client's connection; beyond the bound one that only says so. */
+    /** Returns a handler for a new client connection; at the client limit, one that only sends an error. */
     private ConnectionHandler accept() {
         if (clients.size() >= setup.limits().maxClients()) {
             counters.add("pooling_clients_refused");
@@ -131,16 +138,16 @@
         return client;
     }
 
-    // ---- What clients ask.
+    // ---- Called by clients.
     @Override public Setup setup() { return setup; }
     @Override public Setup.Database database(String name) { return setup.databases().get(name); }
     @Override public Route route() { return route; }
-    @Override public PMap<String, String> reported(ServerKey key) { return servers.reported(key); }
+    @Override public PMap<String, String> reported(ServerKey key) { return servers.reportedParameters(key); }
     @Override public boolean draining() { return draining; }
     @Override public void count(String name) { counters.add(name); }
     @Override public double now() { return loop.now(); }
     @Override public void later(Runnable work) { loop.run(work); }
-    @Override public List<Frame> console(String sql) { return console.answer(sql); }
+    @Override public List<Frame> console(String sql) { return console.execute(sql); }
 
     @Override public boolean hold(int more) {
         bufferedBytes += more;
@@ -189,7 +196,7 @@
             byTicket.remove(ticket);
             AdmissionQueue at = queues.get(client.databaseName());
             at.cancel(client.user(), ticket);
-            // Later: who is served next must not run inside this one's end.
+            // Deferred: the next client must not run inside the call that ends this one.
             loop.run(() -> apply(at.release(loop.now(), ticket)));
         }
     }
@@ -209,7 +216,7 @@
         loggingIn.remove(client);
     }
 
-    /** Guards against guessed keys: the secret is as wide as the protocol allows, and compared whole. */
+    /** Cancels a client of this process. All 32 bits of the secret must match, against guessed keys. */
     private boolean cancelLocal(int process, int secret) {
         Client client = clients.get(process);
         boolean known = client != null && client.secret() == secret;
@@ -221,7 +228,7 @@
 
     @Override public void cancel(int process, int secret) { cancels.cancel(process, secret); }
 
-    /** To share cancels with another process of this pooler. */
+    /** The router that shares cancel requests with other processes of this pooler. */
     public CancelRouter cancels() { return cancels; }
 
     @Override public void cancel(Server server) { servers.cancel(server); }
@@ -235,7 +242,7 @@
                 loggingIn.remove(c);
             } else if (now - c.connectedAt() > limits.loginTimeout()) {
                 counters.add("pooling_logins_late");
-                c.fatal("08P01", "no whole start came in time");
+                c.fatal("08P01", "no complete startup message arrived in time");
             }
         }
         for (Server s : servers.connections()) {
@@ -244,11 +251,11 @@
                 continue;
             }
             Client client = lease.opening().client;
-            boolean bounded = lease.opening().mode == Setup.Mode.TRANSACTION;
+            boolean perTransaction = lease.opening().mode == Setup.Mode.TRANSACTION;
             if (now - lease.quietSince() > limits.idleInTransactionTimeout()) {
                 counters.add("pooling_idle_in_transaction");
                 client.fatal("25P03", "idle in transaction for longer than it may");
-            } else if (bounded && lease.inTransaction() && now - lease.transactionSince() > limits.transactionTimeout()) {
+            } else if (perTransaction && lease.inTransaction() && now - lease.transactionSince() > limits.transactionTimeout()) {
                 counters.add("pooling_transactions_late");
                 client.fatal("25P04", "the transaction takes longer than it may");
             }
@@ -256,13 +263,13 @@
         loop.after(SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    // ---- For the console and for figures.
+    // ---- For the console and metrics.
     Collection<Client> clients() { return clients.values(); }
     ServerConnections servers() { return servers; }
     Map<String, AdmissionQueue> queues() { return queues; }
     Counters counters() { return counters; }
 
-    /** Present values for operators, by name. */
+    /** Current gauge values, by metric name. */
     public Map<String, Long> gauges() {
         var all = new LinkedHashMap<String, Long>();
         all.put("pooling_clients", (long) clients.size());
@@ -274,13 +281,13 @@
         return all;
     }
 
-    /** Nothing new begins at this database until it resumes; false where it is not known. */
-    boolean pause(String name, boolean on) {
+    /** Pauses or resumes the start of transactions at a database; returns false if it is unknown. */
+    boolean setPaused(String name, boolean paused) {
         AdmissionQueue at = queues.get(name);
         if (at == null) {
             return false;
         }
-        if (on) {
+        if (paused) {
             at.pause();
         } else {
             apply(at.resume(loop.now()));
@@ -288,7 +295,7 @@
         return true;
     }
 
-    // ---- What a daemon asks.
+    // ---- Called by the daemon.
     @Override public void stopping() { stopping = true; }
 
     @Override public void drain() {
--- a/src/main/java/crankspar/pooling/ReleaseAction.java
+++ b/src/main/java/crankspar/pooling/ReleaseAction.java
@@ -1,35 +1,35 @@
 package crankspar.pooling;
 
 /**
- * What becomes of a server's connection when its client's transaction, or its client, has ended.
- * All that must be so before another client may have it is named in {@link Condition}; nothing else
- * makes a connection free.
+ * What is done with a server connection when the transaction or session of its client has ended.
+ * {@link Condition} holds everything that is checked before another client may use the connection.
  */
 enum ReleaseAction {
-  /** Free for any client. */
+  /** The connection is clean and goes to the idle list. */
   REUSE,
-  /** Kept apart: a cancel that was sent for its last client may still reach it. */
+  /** Not reused yet: a cancel request sent for its last client may still reach the server. */
   AWAIT_CANCEL,
-  /** Its open block is rolled back first. */
+  /** The open transaction block is rolled back before the connection is reused. */
   ROLL_BACK,
-  /** Its open block is rolled back, and its session reset, first. */
+  /** The open block is rolled back and the session reset (DISCARD ALL) before reuse. */
   RESET_SESSION,
-  /** Closed, which has the server roll back whatever is open. */
+  /** The connection is closed, so that the server rolls back whatever is open. */
   CLOSE;
 
   /**
-   * A connection at the moment of its release.
+   * The state of a connection at the moment of its release.
    *
-   * @param answersOwed whether the server still owes answers, or may, or takes a COPY
-   * @param batchOpen whether messages of the extended protocol have gone out with no Sync behind
-   *     them: a Sync would commit them, and after an error anything else is passed over
-   * @param status as the server's last ReadyForQuery told it: I, T or E
-   * @param sessionState whether its client left more there than a transaction does, or a change to
-   *     that client's state got stuck half way
-   * @param libraryLoaded whether its client loaded a library, which only the connection's end
-   *     undoes
-   * @param unwanted whether it is to end: its member drains, or a cancel may still hit it
-   * @param cancelsPending cancels that were sent for its client and have not passed
+   * @param answersPending whether replies of the server are or may be outstanding, or a COPY is
+   *     under way
+   * @param batchOpen whether extended-protocol messages were sent without a Sync after them: a Sync
+   *     would commit them, and after an error the server ignores every other message
+   * @param transactionStatus status byte of the last ReadyForQuery: I, T or E
+   * @param sessionChanged whether the client may have left session state behind, or applying the
+   *     client's state to the connection failed half way
+   * @param libraryLoaded whether the client ran LOAD, which only closing the connection undoes
+   * @param mustClose whether the connection has to end: its member drains, or a cancel request of
+   *     unknown outcome may still hit it
+   * @param pendingCancels cancel requests that were sent for the client and are not finished
    */
   record Condition(
       boolean answersPending,
@@ -40,7 +40,7 @@
       boolean mustClose,
       int pendingCancels) {
 
-    /** One that no client has used since it was last clean. */
+    /** A connection that no client has used since it was last clean. */
     static Condition clean(boolean mustClose, int pendingCancels) {
       return new Condition(false, false, 'I', false, false, mustClose, pendingCancels);
     }
--- a/src/main/java/crankspar/pooling/ReportedStatus.java
+++ b/src/main/java/crankspar/pooling/ReportedStatus.java
@@ -4,9 +4,11 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** What a server has told of itself in parameters that are for the pooler, not for its clients. */
+/**
+ * Role and replication position of a server, as it reports them in parameters meant for the pooler.
+ */
 final class ReportedStatus {
-  /** The parameters' names; clients do not hear of them. */
+  /** Names of these parameters; they are not forwarded to clients. */
   static final Set<String> PARAMETERS = Set.of("role", "applied_ms", "load", "in_hot_standby");
 
   private static final Pattern PLAIN_NUMBER = Pattern.compile("[0-9]{1,16}(\\.[0-9]{0,6})?");
@@ -15,8 +17,8 @@
   private double position = Double.NaN;
 
   /**
-   * Takes a parameter that the server reports; one of a session's goes to {@code sessionState}, or
-   * nowhere where that is null.
+   * Reads a ParameterStatus message. A parameter of the session, not of the pooler, is stored in
+   * {@code sessionState} unless that is null.
    */
   void read(Frame f, ServerState sessionState) throws Frame.Malformed {
     Frame.Reader r = f.read();
@@ -28,7 +30,7 @@
     }
   }
 
-  /** Other parameters change nothing. */
+  /** Reads one parameter; unknown names are ignored. */
   void read(String name, String value) {
     switch (name) {
       case "role" -> role = role(value);
@@ -51,7 +53,7 @@
     return role;
   }
 
-  /** Unix ms, or NaN where none has been told. */
+  /** The replication position (Unix ms), or NaN if the server has reported none. */
   double position() {
     return position;
   }
--- a/src/main/java/crankspar/pooling/Server.java
+++ b/src/main/java/crankspar/pooling/Server.java
@@ -9,9 +9,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * One connection to a server, in one state at a time. It serves one client's transaction after
- * another, each a {@link Lease}; what a client leaves behind is rolled back and cleaned, or the
- * connection is closed, before anybody else has it. Its end is told exactly once.
+ * The state machine of one connection to a server. It serves one client transaction after another,
+ * each as a {@link Lease}. Before another client uses it, what the last one left behind is rolled
+ * back and reset, or the connection is closed. Its end is reported exactly once.
  */
 final class Server implements ConnectionHandler, Ports.Call, IdleList.IdleConnection {
   private final ServerPool pool;
@@ -22,7 +22,7 @@
   private final ServerState sessionState = new ServerState();
   private final ServerLogin login = new ServerLogin();
   private final ReportedStatus reportedStatus = new ReportedStatus();
-  private final ConnectionReset cleaning = new ConnectionReset();
+  private final ConnectionReset connectionReset = new ConnectionReset();
   private final FrameDecoder decoder = new FrameDecoder(false);
   private final Flow clientBacklog;
   private SocketConnection socket;
@@ -30,12 +30,12 @@
   private ConnectionState state = ConnectionState.LOGIN;
   private double stateSince;
 
-  /** Its client's use of it, or null. */
+  /** The current client's use of this connection, or null. */
   private Lease lease;
 
   private Frame stateError;
 
-  /** It takes no further transaction. */
+  /** Whether the connection accepts no further transaction. */
   private boolean closing;
 
   Server(ServerPool pool, ServerKey key, String member, double jitter) {
@@ -69,27 +69,27 @@
     return state;
   }
 
-  /** What is in force on it, as far as it was set through here. */
+  /** The session state on the server, as far as it was set through the pooler. */
   ServerState sessionState() {
     return sessionState;
   }
 
-  /** What the server told of itself. */
+  /** Role and replication position as reported by the server. */
   ReportedStatus reportedStatus() {
     return reportedStatus;
   }
 
-  /** Its client's use of it, or null. */
+  /** The current client's use of this connection, or null. */
   Lease lease() {
     return lease;
   }
 
-  /** What it serves, or null. */
+  /** The transaction request being served, or null. */
   Opening opening() {
     return lease == null ? null : lease.opening();
   }
 
-  /** What it learnt at its start. */
+  /** The login, with the cancel key that the server sent. */
   ServerLogin login() {
     return login;
   }
@@ -102,12 +102,12 @@
     return closing;
   }
 
-  /** Whether this lease has it, and it is in that client's state. */
+  /** Whether this lease holds the connection and the client's state is applied. */
   boolean isActive(Lease asking) {
     return state == ConnectionState.ACTIVE && lease == asking;
   }
 
-  /** Whether the server is read: not while what it gives has nowhere to go. */
+  /** Pauses or resumes reading from the server, as backpressure from a slow client. */
   void setReading(boolean on) {
     out.reading(on);
   }
@@ -132,7 +132,7 @@
     stateSince = pool.now();
   }
 
-  /** Its driver, from the moment it is dialled. */
+  /** Sets the socket, as soon as the connect has been started. */
   void setSocket(SocketConnection stream) {
     this.socket = stream;
   }
@@ -143,11 +143,8 @@
     out.write(ServerLogin.startup(key));
   }
 
-  // ---- A client's transaction.
-  /**
-   * It has this one now; it begins as soon as the connection is welcomed and in the client's state,
-   * within so long (ms).
-   */
+  // ---- Serving a client's transaction.
+  /** Assigns a transaction; it must start, after login and state setup, within the timeout (ms). */
   void assign(Opening opening, double timeout, Ports.AttemptListener<Answer> listener) {
     lease = new Lease(this, opening, pool.now() + timeout, listener);
     opening.server = this;
@@ -170,13 +167,13 @@
     }
   }
 
-  /** A simple query of its own; it does away with the unnamed statement, as any does. */
+  /** Sends a simple query of the pooler; like every simple query it drops the unnamed statement. */
   private void sendQuery(String sql) {
     sessionState.setUnnamed(null);
     out.write(Frame.query(sql).wire());
   }
 
-  /** Writes for its client, who is held back while too much waits. */
+  /** Writes bytes of the client, which is not read while too much is queued here. */
   void writeForClient(byte[] bytes, Runnable written) {
     clientBacklog.queued(bytes.length);
     out.write(
@@ -188,7 +185,7 @@
         });
   }
 
-  // ---- From the server.
+  // ---- Messages from the server.
   @Override
   public void received(ByteBuffer in) {
     decoder.feed(in);
@@ -200,7 +197,7 @@
       }
     } catch (Frame.Malformed e) {
       pool.count("pooling_server_malformed", 1);
-      close("malformed: " + e.getMessage());
+      close("malformed message: " + e.getMessage());
     }
   }
 
@@ -239,8 +236,8 @@
   private void onIdleMessage(Frame f) throws Frame.Malformed {
     switch (f.type()) {
       case 'S', 'N', 'A' -> {}
-      case 'E' -> close("ended by the server: " + f.fields().get('M'));
-      default -> throw new Frame.Malformed("message type " + f.type() + " that nothing asked for");
+      case 'E' -> close("closed by the server: " + f.fields().get('M'));
+      default -> throw new Frame.Malformed("unexpected message type " + f.type() + " while idle");
     }
   }
 
@@ -253,19 +250,19 @@
         SessionState client = lease.opening().client.session();
         sessionState.replaceSession(client.options(), client.sqlPrepared());
         lease.start();
-      } else { // its client hears why, as though it had said so itself
+      } else { // the client gets the error as if it had sent these statements
         pool.count("pooling_carries_failed", 1);
         lease.carryFailed(stateError);
       }
     }
   }
 
-  // ---- Its release.
-  /** The transaction is over, and the connection may go to another client. */
+  // ---- Release.
+  /** Ends the lease with the transaction; the connection is released for other clients. */
   void finish(AttemptEnd<Answer> how) {
     Lease ended = lease;
     ReleaseAction.Condition condition =
-        ended.condition(false, mustClose(), cleaning.pendingCancels());
+        ended.condition(false, mustClose(), connectionReset.pendingCancels());
     endLease();
     release(condition);
     ended.tell(how);
@@ -273,21 +270,21 @@
 
   private void endLease() {
     lease = null;
-    out.reading(true); // a slow client's answer is in its own queue by now
+    out.reading(true); // a slow client's answer is in the client's own queue by now
   }
 
   private boolean mustClose() {
-    return closing || cleaning.cancelInDoubt();
+    return closing || connectionReset.cancelInDoubt();
   }
 
   private void releaseClean() {
-    release(ReleaseAction.Condition.clean(mustClose(), cleaning.pendingCancels()));
+    release(ReleaseAction.Condition.clean(mustClose(), connectionReset.pendingCancels()));
   }
 
-  /** The only way to become free; also taken once it has been cleaned. */
+  /** The only way for a connection to become idle after use, also after a reset. */
   private void release(ReleaseAction.Condition condition) {
     switch (ReleaseAction.forCondition(condition)) {
-      case CLOSE -> close("not fit for another client: " + condition);
+      case CLOSE -> close("not reusable: " + condition);
       case RESET_SESSION -> reset(true);
       case ROLL_BACK -> reset(false);
       case AWAIT_CANCEL -> transitionTo(ConnectionState.TESTED);
@@ -301,44 +298,44 @@
   private void reset(boolean resetSession) {
     transitionTo(ConnectionState.TESTED);
     pool.count("pooling_cleaned", 1);
-    for (Sql.Statement query : cleaning.begin(resetSession)) {
+    for (Sql.Statement query : connectionReset.begin(resetSession)) {
       sendQuery(query.text());
       sessionState.onCompleted(query, query.text(), StatementOptions.NONE);
     }
   }
 
   private void onResetMessage(Frame f) throws Frame.Malformed {
-    switch (cleaning.onMessage(f)) {
+    switch (connectionReset.onMessage(f)) {
       case CLEAN -> releaseClean();
-      case FAILED -> close("it does not come clean");
+      case FAILED -> close("connection reset failed");
       case IN_PROGRESS -> {}
     }
   }
 
-  // ---- Cancels.
-  /** A cancel for its present client is on its way. */
+  // ---- Cancel requests.
+  /** A cancel request for the current client was sent. */
   void cancelSent() {
-    cleaning.cancelSent();
+    connectionReset.cancelSent();
   }
 
-  /** That cancel has passed; {@code sure} where the server itself ended its connection. */
+  /** A cancel request is finished; {@code confirmed} if the server closed its connection. */
   void cancelFinished(boolean confirmed) {
-    cleaning.cancelFinished(confirmed);
-    if (state == ConnectionState.TESTED && cleaning.tryBeginEmptyQuery()) {
-      if (cleaning.cancelInDoubt()) {
-        close("a cancel may still come");
+    connectionReset.cancelFinished(confirmed);
+    if (state == ConnectionState.TESTED && connectionReset.tryBeginEmptyQuery()) {
+      if (connectionReset.cancelInDoubt()) {
+        close("a cancel request of unknown outcome may still arrive");
       } else {
         sendQuery("");
       }
     }
   }
 
-  // ---- Ends.
-  /** It takes no further transaction: idle ones close now, others at the end of what they have. */
+  // ---- Closing.
+  /** Accepts no further transaction: closes now, or at the end of the one being served. */
   void retire() {
     closing = true;
     switch (state) {
-      case IDLE, LOGIN, CARRYING, TESTED -> close("its member drains or has left");
+      case IDLE, LOGIN, CARRYING, TESTED -> close("its member drains or was removed");
       case ACTIVE -> {
         if (lease.between()) {
           lease.opening().client.fatal("57P01", "the server of this session drains");
@@ -348,12 +345,12 @@
     }
   }
 
-  /** How far its attempt had come. */
+  /** How far the current attempt has come. */
   private Reach reach() {
     return lease == null ? Reach.NOT_CONNECTED : lease.reach(state);
   }
 
-  /** The core gives it up, or the client has gone: what is quiet is cleaned, all else is closed. */
+  /** The core gave up, or the client left: resets the connection if possible, else closes it. */
   @Override
   public Reach abandon() {
     Reach reach = reach();
@@ -363,18 +360,18 @@
     lease.abandon();
     if (state == ConnectionState.ACTIVE && lease.kept()) {
       ReleaseAction.Condition condition =
-          lease.condition(true, mustClose(), cleaning.pendingCancels());
+          lease.condition(true, mustClose(), connectionReset.pendingCancels());
       if (ReleaseAction.forCondition(condition) != ReleaseAction.CLOSE) {
         endLease();
         release(condition);
         return reach;
       }
     }
-    close("given up");
+    close("attempt abandoned");
     return reach;
   }
 
-  /** Closes it, for this reason. */
+  /** Closes the connection, and reports the end of an attempt on it with this reason. */
   void close(String reason) {
     if (state == ConnectionState.CLOSED) {
       return;
--- a/src/main/java/crankspar/pooling/ServerConnections.java
+++ b/src/main/java/crankspar/pooling/ServerConnections.java
@@ -27,18 +27,19 @@
 import org.pcollections.PMap;
 
 /**
- * Connections to servers, by database, user and member. It sends where the core tells it, once;
- * which idle connection is used and which are closed {@link IdleList} decides. Probes have
- * connections of their own.
+ * All connections to servers, by database, user and member. Sends each attempt once, to the member
+ * that the core names. {@link IdleList} selects the idle connections to use and to close. Probes
+ * use separate connections.
  */
 final class ServerConnections
     implements Ports.Backends<Opening, Answer>, MemberAddresses, ServerPool {
+  /** How often expired idle connections and overdue resets are looked for. */
   private static final double SWEEP_INTERVAL_MS = 250;
 
-  /** From a client's end to a connection that is clean (ms). */
+  /** The longest time that the reset of a connection between two clients may take. */
   private static final double RESET_TIMEOUT_MS = 5_000;
 
-  /** A member that is gone is forgotten after this long (ms), by when no attempt at it is out. */
+  /** How long a removed member is remembered; by then no attempt at it is in flight. */
   private static final double MEMBER_RETENTION_MS = 60_000;
 
   private static final class Member {
@@ -56,8 +57,8 @@
   private final Map<String, Member> members = new HashMap<>();
   private final Map<ServerKey, Integer> open = new HashMap<>();
 
-  /** What a server said of itself at the last login, by key: for the clients that log in next. */
-  private final Map<ServerKey, PMap<String, String>> reported = new LinkedHashMap<>();
+  /** Parameters that a server reported at the last login, by key, for clients that log in next. */
+  private final Map<ServerKey, PMap<String, String>> reportedParameters = new LinkedHashMap<>();
 
   private Setup setup;
   private int total;
@@ -104,9 +105,9 @@
     counters.add(name, n);
   }
 
-  /** What clients of this key are told at their start, or null while no server has said it. */
-  PMap<String, String> reported(ServerKey key) {
-    return reported.get(key);
+  /** The parameters reported to clients of this key at login, or null before any server login. */
+  PMap<String, String> reportedParameters(ServerKey key) {
+    return reportedParameters.get(key);
   }
 
   Collection<Server> connections() {
@@ -132,23 +133,23 @@
   }
 
   /**
-   * It drains or is gone: what has not been sent is not sent there any more, idle connections
-   * close, and a transaction that is open there goes on within its bound.
+   * The member drains or was removed: nothing new is sent to it and its idle connections are
+   * closed. Transactions that are open there may go on until the drain timeout.
    */
   @Override
   public void forget(String id) {
     probes.forget(id);
-    Member m = members.get(id);
-    if (m == null || m.removedAt < loop.now()) {
+    Member removed = members.get(id);
+    if (removed == null || removed.removedAt < loop.now()) {
       return;
     }
-    m.removedAt = loop.now();
-    var connections = new ArrayList<>(m.connections);
+    removed.removedAt = loop.now();
+    var connections = new ArrayList<>(removed.connections);
     connections.forEach(Server::retire);
     loop.after(
         setup.limits().drainTimeout(),
         () -> {
-          if (m.removedAt < loop.now()) {
+          if (removed.removedAt < loop.now()) {
             for (Server s : connections) {
               if (s.state() == ConnectionState.ACTIVE && s.opening() != null) {
                 counters.add("pooling_drain_ended", 1);
@@ -157,7 +158,7 @@
                     .fatal(
                         "57P01", "the server drains, and this transaction took longer than it may");
               }
-              s.close("its member drains");
+              s.close("drain timeout of its member exceeded");
             }
           }
         });
@@ -174,7 +175,7 @@
     double timeout = connectBy - loop.now();
     Member m = members.get(member);
     if (m == null) {
-      return refuse(listener, "no address is known");
+      return refuse(listener, "no address is known for the member");
     }
     ServerKey key = opening.client.key();
     Server server =
@@ -187,7 +188,7 @@
     Setup.PoolLimits limits = opening.client.database().poolLimits();
     if (open(key) >= limits.maxSize() + limits.reserve() && !closeLongestIdle(key)
         || total >= maxConnections && !closeLongestIdle(null)) {
-      return refuse(listener, "no connection is left");
+      return refuse(listener, "connection limit reached, and no idle connection can be closed");
     }
     Server dialed = dial(member, m, key);
     dialed.assign(opening, timeout, listener);
@@ -195,7 +196,7 @@
         Math.min(dialTimeout, timeout),
         () -> {
           if (dialed.state() == ConnectionState.LOGIN) {
-            dialed.close("no connection in time");
+            dialed.close("connection or login timed out");
           }
         });
     return dialed;
@@ -229,8 +230,8 @@
   }
 
   /**
-   * Makes room for a connection elsewhere: the longest idle one goes, of this key or, where null,
-   * of any.
+   * Closes the connection that has been idle longest, to make room for one to another member; only
+   * connections of this key, or of any key if null. Returns false if none is idle.
    */
   private boolean closeLongestIdle(ServerKey key) {
     Server oldest = null;
@@ -240,7 +241,7 @@
       }
     }
     if (oldest != null) {
-      oldest.close("room is made");
+      oldest.close("closed to make room for another connection");
     }
     return oldest != null;
   }
@@ -253,15 +254,15 @@
             end.accept(
                 how instanceof AttemptEnd.Served<PgAnswer> s
                     ? new AttemptEnd.Served<>(null, s.note())
-                    : new AttemptEnd.Broken<>(Reach.ANSWERED, "no report")));
+                    : new AttemptEnd.Broken<>(Reach.ANSWERED, "probe failed")));
   }
 
-  // ---- What connections tell.
+  // ---- Callbacks of connections.
   @Override
   public void connected(Server server) {
-    reported.put(server.key(), server.sessionState().reported());
-    if (reported.size() > 10_000) { // one a key: users may be any
-      reported.remove(reported.keySet().iterator().next());
+    reportedParameters.put(server.key(), server.sessionState().reported());
+    if (reportedParameters.size() > 10_000) { // one per key: clients choose the user names
+      reportedParameters.remove(reportedParameters.keySet().iterator().next());
     }
   }
 
@@ -269,7 +270,7 @@
   public void idle(Server server) {
     Setup.Database database = setup.databases().get(server.key().pool());
     if (database != null && IdleList.pastLifetime(server, database.poolLimits(), loop.now())) {
-      server.close("its lifetime is over");
+      server.close("maximum lifetime exceeded");
     }
   }
 
@@ -283,8 +284,8 @@
   }
 
   /**
-   * Asks a server to stop what this connection runs now; it is kept apart until that request has
-   * passed.
+   * Sends a cancel request for the statement that this connection runs. The connection is not
+   * reused before the request is finished.
    */
   void cancel(Server server) {
     Member m = members.get(server.member());
@@ -293,14 +294,14 @@
     }
     counters.add("pooling_cancels", 1);
     server.cancelSent();
-    boolean[] over = new boolean[2];
+    boolean[] finishedAndOpened = new boolean[2]; // [0]: reported as finished, [1]: connected
     SocketConnection stream =
         loop.connect(
             m.address,
             new ConnectionHandler() {
               @Override
               public void opened(Connection out) {
-                over[1] = true;
+                finishedAndOpened[1] = true;
                 byte[] bytes = Frame.cancel(server.login().processId(), server.login().secretKey());
                 out.write(bytes, bytes.length, null);
               }
@@ -312,31 +313,33 @@
 
               @Override
               public void ended(String why) {
-                passed(true);
+                finish(true);
               }
 
               @Override
               public void closed() {
-                loop.run(() -> passed(false));
+                loop.run(() -> finish(false));
               }
 
-              private void passed(boolean byServer) {
-                if (!over[0]) {
-                  over[0] = true;
-                  server.cancelFinished(byServer || !over[1]);
+              private void finish(boolean byServer) {
+                if (!finishedAndOpened[0]) {
+                  finishedAndOpened[0] = true;
+                  server.cancelFinished(byServer || !finishedAndOpened[1]);
                 }
               }
             });
     loop.after(setup.limits().cancelTimeout(), stream::close);
   }
 
-  /** What does not come clean in time serves nobody and holds a place. */
+  /**
+   * Closes connections whose reset takes too long; they count against the limit but serve nobody.
+   */
   private void closeOverdueResets(double now) {
     for (Server server : connections()) {
       if (server.state() == ConnectionState.TESTED
           && now - server.stateSince() > RESET_TIMEOUT_MS) {
         counters.add("pooling_cleanings_late", 1);
-        server.close("it did not come clean in time");
+        server.close("connection reset timed out");
       }
     }
   }
@@ -359,7 +362,7 @@
       byKey.forEach(
           (key, idle) ->
               IdleList.expired(idle, d.poolLimits(), open(key), now)
-                  .forEach(s -> s.close("its time is over")));
+                  .forEach(s -> s.close("idle timeout or maximum lifetime exceeded")));
     }
     loop.after(SWEEP_INTERVAL_MS, this::sweep);
   }
--- a/src/main/java/crankspar/pooling/ServerKey.java
+++ b/src/main/java/crankspar/pooling/ServerKey.java
@@ -1,9 +1,9 @@
 package crankspar.pooling;
 
 /**
- * Whose server connections are alike.
+ * Identifies server connections that are interchangeable between clients.
  *
- * @param pool the database as clients name it
- * @param database the database as servers name it
+ * @param pool the database name that clients use
+ * @param database the database name on the server
  */
 record ServerKey(String pool, String database, String user) {}
--- a/src/main/java/crankspar/pooling/ServerLogin.java
+++ b/src/main/java/crankspar/pooling/ServerLogin.java
@@ -3,20 +3,20 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A server connection's start, up to the first ReadyForQuery; its cancel key is learnt here. */
+/** The login on a server connection, up to the first ReadyForQuery; it receives the cancel key. */
 final class ServerLogin {
-  /** Version 3.0 of the protocol, as a startup message gives it. */
+  /** Protocol version 3.0, as encoded in a startup message. */
   private static final int PROTOCOL_VERSION = 3 << 16;
 
-  /** What a message of the server's means for the start. */
+  /** The result of one server message during login. */
   sealed interface Step {
-    /** It goes on. */
+    /** The login continues. */
     record Continue() implements Step {}
 
-    /** The server is ready. */
+    /** The login is complete. */
     record Ready() implements Step {}
 
-    /** The server will not have it; {@code said} is what its client hears. */
+    /** The login failed; {@code error} is sent to the client. */
     record Refused(Frame error, String reason) implements Step {}
   }
 
@@ -51,9 +51,9 @@
       }
       case 'S', 'N', 'v' -> CONTINUE;
       case 'E' ->
-          new Step.Refused(f, "not welcome: " + f.fields().get('C') + " " + f.fields().get('M'));
+          new Step.Refused(f, "login refused: " + f.fields().get('C') + " " + f.fields().get('M'));
       case 'Z' -> new Step.Ready();
-      default -> throw new Frame.Malformed("message type " + f.type() + " before the welcome");
+      default -> throw new Frame.Malformed("message type " + f.type() + " during login");
     };
   }
 
@@ -63,7 +63,10 @@
     }
     Frame error =
         Frame.error(
-            "FATAL", "28000", "the server asks for a password, which is not carried yet", null);
-    return new Step.Refused(error, "a password is asked for");
+            "FATAL",
+            "28000",
+            "the server requires password authentication, which the pooler does not support",
+            null);
+    return new Step.Refused(error, "password authentication required");
   }
 }
--- a/src/main/java/crankspar/pooling/ServerPool.java
+++ b/src/main/java/crankspar/pooling/ServerPool.java
@@ -4,21 +4,21 @@
 
 /** The pool that a server connection belongs to. */
 interface ServerPool {
-  /** It has been welcomed. */
+  /** The login is complete. */
   void connected(Server server);
 
-  /** Anybody may have it. */
+  /** The connection became idle after use and can serve any client of its key. */
   void idle(Server server);
 
-  /** It is closed. */
+  /** The connection is closed. */
   void closed(Server server);
 
-  /** The loop's time (ms). */
+  /** The time of the event loop (ms). */
   double now();
 
   Setup.Limits limits();
 
-  /** What operators refuse. */
+  /** The kinds of pinning statements that are refused by configuration. */
   Set<Pins.Kind> refusedPins();
 
   void count(String name, long n);
--- a/src/main/java/crankspar/pooling/ServerState.java
+++ b/src/main/java/crankspar/pooling/ServerState.java
@@ -10,21 +10,22 @@
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 
-/** What is in force on one server connection, as far as it was set through here. */
+/** The session state of one server connection, as far as it was set through the pooler. */
 final class ServerState {
   private static final int MAX_STALE = 64;
 
   private final Transactional<PMap<String, String>> options =
       new Transactional<>(HashTreePMap.empty());
 
-  /** Statements by name, the least recently used first. */
+  /** Prepared statements by name, the least recently used first. */
   private final LinkedHashMap<String, Prepared> statements = new LinkedHashMap<>(16, 0.75f, true);
 
   private PMap<String, SqlPrepared> sqlPrepared = HashTreePMap.empty();
   private Prepared unnamed;
 
   /**
-   * Statements that must be closed before they are prepared anew: the server may still have them.
+   * Statements that must be closed before they are prepared again, as the server may still hold
+   * them.
    */
   private final Set<Prepared> stale = new HashSet<>();
 
@@ -38,7 +39,7 @@
     return sqlPrepared;
   }
 
-  /** The parameters that the server reported last. */
+  /** The parameters that the server reported last, by name. */
   PMap<String, String> reported() {
     return reported;
   }
@@ -61,7 +62,7 @@
     }
   }
 
-  /** Whether the statement is there; it counts as used now. */
+  /** Whether the statement is prepared here; marks it as the most recently used. */
   boolean has(Prepared statement) {
     return statements.get(statement.name()) != null;
   }
@@ -74,7 +75,10 @@
     statements.remove(statement.name());
   }
 
-  /** It failed as lost or stale: it counts as absent, and is closed before it is prepared anew. */
+  /**
+   * The statement failed as missing or outdated: treats it as absent, to be closed before it is
+   * prepared again.
+   */
   void markStale(Prepared statement) {
     if (statement.equals(unnamed)) {
       unnamed = null;
@@ -84,12 +88,12 @@
     }
   }
 
-  /** Whether it was dropped, said once. */
+  /** Returns whether the statement was marked stale, and clears the mark. */
   boolean takeStale(Prepared statement) {
     return stale.remove(statement);
   }
 
-  /** The least recently used ones beyond a bound. */
+  /** The least recently used statements in excess of a limit. */
   List<Prepared> leastRecentlyUsed(int limit) {
     var excess = new ArrayList<Prepared>();
     var eldest = statements.values().iterator();
@@ -100,8 +104,8 @@
   }
 
   /**
-   * A statement has been done here, under these options; RESET goes back to what this connection
-   * began with, which is nothing set.
+   * Records the effect of a statement that completed under these options. RESET returns to the
+   * options at login; as the pooler sets none there, it removes the entry.
    */
   void onCompleted(Statement s, String tag, StatementOptions under) {
     PMap<String, String> current = options.now();
@@ -148,7 +152,7 @@
     options.ready(status);
   }
 
-  /** What was brought here by a carry, in one go. */
+  /** Replaces options and SQL-level statements after a client's state was applied. */
   void replaceSession(PMap<String, String> newOptions, PMap<String, SqlPrepared> newPrepared) {
     options.replace(newOptions);
     sqlPrepared = newPrepared;
--- a/src/main/java/crankspar/pooling/Setup.java
+++ b/src/main/java/crankspar/pooling/Setup.java
@@ -4,31 +4,34 @@
 import java.util.Map;
 import java.util.Set;
 
-/** How the pooling front is set up. Times are ms, sizes bytes. */
+/** Configuration of the pooling front. Times are in ms, sizes in bytes. */
 public record Setup(
     InetSocketAddress listen,
     Limits limits,
     Set<Pins.Kind> refusedPins,
     Map<String, Database> databases) {
-  /** When a connection is given back: with the client's end, or with the transaction's. */
+  /**
+   * When a client releases its server connection: at the end of its session or of each transaction.
+   */
   public enum Mode {
     SESSION,
     TRANSACTION
   }
 
   /**
-   * Bounds for all clients.
+   * Limits that hold across all databases.
    *
-   * @param clients connections of clients at once
-   * @param waiting clients that wait for a turn, all together
-   * @param login from connecting to a whole start
-   * @param statements that one client may have prepared, and {@code statementBytes} of them
-   * @param serverStatements prepared on one server connection
-   * @param buffers bytes of clients' messages that wait, all clients together
-   * @param idleInTransaction between two messages of an open transaction
-   * @param transaction a whole one
-   * @param drain how long an open transaction goes on at a server that drains
-   * @param cancel how long a server may take to end a cancel's connection
+   * @param maxClients client connections at a time
+   * @param maxWaiting clients waiting for a slot; the queue of each database checks it on its own
+   * @param loginTimeout from connecting to a complete startup message
+   * @param maxStatements prepared statements of one client
+   * @param maxStatementBytes total size of their texts
+   * @param maxServerStatements prepared statements on one server connection
+   * @param maxBufferedBytes bytes of queued client messages, over all clients
+   * @param idleInTransactionTimeout between two messages in an open transaction
+   * @param transactionTimeout of a whole transaction
+   * @param drainTimeout how long an open transaction may go on at a server that drains
+   * @param cancelTimeout how long a server may take to close the connection of a cancel request
    */
   public record Limits(
       int maxClients,
@@ -47,13 +50,13 @@
   }
 
   /**
-   * Connections for one database.
+   * Limits on the connections for one database.
    *
-   * @param most transactions at once, and so connections
-   * @param least idle connections that are kept when nothing is asked
-   * @param reserve further ones, when somebody has waited for {@code reserveAfter}
-   * @param lifetime after which a connection is closed between transactions, give or take a tenth
-   * @param idle after which an idle one is closed
+   * @param maxSize transactions at a time, and so connections in use
+   * @param minIdle connections that are kept open when idle
+   * @param reserve additional connections, used once a request has waited for {@code reserveAfter}
+   * @param maxLifetime age at which a connection is closed between transactions, plus or minus 10%
+   * @param idleTimeout after which an idle connection is closed
    */
   public record PoolLimits(
       int maxSize,
@@ -65,16 +68,16 @@
     public static final PoolLimits DEFAULT = new PoolLimits(20, 0, 0, 1000, 3_600_000, 300_000);
   }
 
-  /** What one user has of its own; null or 0 where it has what the database has. */
+  /** Settings of one user; null or 0 means that the setting of the database applies. */
   public record UserSettings(Mode mode, int maxSize) {}
 
   /**
-   * One database as clients name it.
+   * One database, by the name that clients use.
    *
-   * @param serverName as servers name it
-   * @param requestClass of what no comment and no mapping tells otherwise
-   * @param readOnlyClass of blocks that say READ ONLY, or null
-   * @param selectClass of single SELECTs, or null
+   * @param serverName its name on the servers
+   * @param requestClass class of requests that no comment and no mapping assigns to another one
+   * @param readOnlyClass class of blocks begun with READ ONLY, or null
+   * @param selectClass class of single SELECT statements, or null
    */
   public record Database(
       String name,
@@ -92,7 +95,7 @@
       return own == null || own.mode() == null ? mode : own.mode();
     }
 
-    /** The same, in a user's own mode. */
+    /** A copy with this user's mode as the mode of the database. */
     Database forUser(String user) {
       return new Database(
           name,
--- a/src/main/java/crankspar/pooling/package-info.java
+++ b/src/main/java/crankspar/pooling/package-info.java
@@ -1,25 +1,25 @@
 /**
- * PostgreSQL pooling by session and by transaction: a front of its own on the same core, under the
- * same rules.
+ * PostgreSQL session and transaction pooling: a front on the same core and under the same routing
+ * rules as the others.
  *
- * <p>It owns clients that keep state (options, prepared statements), connections to servers that
- * many of them share, and the turns of those who wait. It never picks a member, never tries again
- * by itself and never judges a member: a transaction is one request to the decision module, through
- * {@link crankspar.core.Pooler}.
+ * <p>The package owns clients with session state (options, prepared statements), server connections
+ * that many clients share, and the queues in which transactions wait for a connection slot. It
+ * never chooses a member, never retries by itself and never judges a member's health: a transaction
+ * is one request to the decision module, through {@link crankspar.core.Pooler}.
  *
- * <p>The way of one transaction: {@link crankspar.pooling.Client} collects its opening batch (up to
- * Sync, or one simple query); {@link crankspar.pooling.Route} tells its class, group and mark;
- * {@link crankspar.pooling.Places} gives the turn; the core asks the module, which names a member;
- * {@link crankspar.pooling.Servers} takes a connection there; {@link crankspar.pooling.Carry}
- * brings it to the client's state; {@link crankspar.pooling.Exchange} says what goes on of each
- * side's messages; when the server is idle again the transaction has ended, and the connection is
- * free.
+ * <p>The path of a transaction: {@link crankspar.pooling.Client} collects its opening batch (up to
+ * Sync, or one simple query). {@link crankspar.pooling.Route} determines its class, group and
+ * session mark. {@link crankspar.pooling.AdmissionQueue} grants it a slot. The core asks the
+ * module, which names a member. {@link crankspar.pooling.ServerConnections} takes a connection to
+ * that member, and {@link crankspar.pooling.Carry} applies the client's state to it. {@link
+ * crankspar.pooling.Exchange} decides which messages are forwarded in each direction. When the
+ * server reports that it is idle again, the transaction has ended and the connection is released.
  *
- * <p>Classes that decide, without sockets, clocks or chance of their own: {@code Sql}, {@code
- * SessionState}, {@code Carry}, {@code Pins}, {@code Places}, {@code Progress}, {@code Exchange}
- * with {@code StatementNames}, {@code BatchState} and {@code ServerReplies}, {@code Release},
- * {@code Route}, {@code IdleList}. Classes that drive: {@code Client} and {@code Server} (state
- * machines of one connection each), {@code Lease} (a client's use of one), {@code Servers}, {@code
- * PoolingFront}. {@code Console} words what operators ask.
+ * <p>Pure logic, without sockets, clocks or random numbers of its own: {@code Sql}, {@code
+ * SessionState}, {@code Carry}, {@code Pins}, {@code AdmissionQueue}, {@code Progress}, {@code
+ * Exchange} with {@code StatementNames}, {@code BatchState} and {@code ServerReplies}, {@code
+ * ReleaseAction}, {@code Route}, {@code IdleList}. I/O: {@code Client} and {@code Server} (state
+ * machines of one connection each), {@code Lease} (a client's use of a server connection), {@code
+ * ServerConnections}, {@code PoolingFront}. {@code Console} implements the admin commands.
  */
 package crankspar.pooling;
--- a/src/test/java/crankspar/pooling/AdmissionQueueTest.java
+++ b/src/test/java/crankspar/pooling/AdmissionQueueTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Turns at a database's places: never more than there are, in order, fair between users, bounded in
- * time.
+ * Connection slots of a database: never more are held than the limit, and they are granted in
+ * order, fairly between users and within the deadline.
  */
 class AdmissionQueueTest {
   private static Setup.Database database(
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void aWaitEndsWithItsDeadline() {
+  void aWaitingRequestIsRefusedAtItsDeadline() {
     var p = new AdmissionQueue(database(1, 0, 0, Map.of()), 10);
     p.acquire(0, "a", 1, 1000);
     p.acquire(0, "a", 2, 100);
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void aUsersOwnBoundHolds() {
+  void aUsersOwnLimitHolds() {
     var p =
         new AdmissionQueue(database(10, 0, 0, Map.of("a", new Setup.UserSettings(null, 2))), 100);
     for (long i = 0; i < 5; i++) {
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void theReserveIsForThoseWhoHaveWaitedLong() {
+  void reserveSlotsGoToRequestsThatHaveWaitedLong() {
     var p = new AdmissionQueue(database(1, 1, 50, Map.of()), 100);
     p.acquire(0, "a", 1, 1e9);
     p.acquire(0, "a", 2, 1e9);
@@ -137,8 +137,8 @@
   }
 
   /**
-   * Each ticket gets one end; never more hold than may; nobody waits while a place is free that it
-   * may have.
+   * Over random operations: each request is decided once, no limit is exceeded, and no request
+   * waits while a slot is free that its user may hold.
    */
   @Property(seed = "20261201", tries = 300)
   void slotsAreNeitherLostNorGrantedTwice(
@@ -153,7 +153,7 @@
     for (int step = 0; step < 200; step++) {
       now += random.nextInt(5);
       List<Decision> effects = new ArrayList<>();
-      int what = random.nextInt(4);
+      int action = random.nextInt(4);
       long ticket = ++next;
       List<Long> holders =
           state.entrySet().stream()
@@ -165,11 +165,11 @@
               .filter(e -> e.getValue().equals("waits"))
               .map(Map.Entry::getKey)
               .toList();
-      if (what < 2) {
+      if (action < 2) {
         user.put(ticket, "u" + random.nextInt(3));
         state.put(ticket, "waits");
         effects.addAll(p.acquire(now, user.get(ticket), ticket, now + random.nextInt(60)));
-      } else if (what == 2 && !holders.isEmpty()) {
+      } else if (action == 2 && !holders.isEmpty()) {
         long one = holders.get(random.nextInt(holders.size()));
         state.put(one, "over");
         effects.addAll(p.release(now, one));
@@ -185,12 +185,12 @@
       }
       long held = state.values().stream().filter("held"::equals).count();
       assertThat(held).isEqualTo(p.held()).isLessThanOrEqualTo(most);
-      long mayWait =
+      long grantable =
           state.entrySet().stream()
               .filter(e -> e.getValue().equals("waits"))
               .filter(e -> !user.get(e.getKey()).equals("u0") || p.held("u0") < 1)
               .count();
-      assertThat(held == most || mayWait == 0).isTrue();
+      assertThat(held == most || grantable == 0).isTrue();
     }
   }
 }
--- a/src/test/java/crankspar/pooling/CancelBeforeStatementTest.java
+++ b/src/test/java/crankspar/pooling/CancelBeforeStatementTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The pooling front is late: a statement and its cancel, on another connection, wait in the sockets
- * together. The cancel was read while its client had nothing at hand, as statements are taken
- * behind all that is read; it did nothing, and the statement ran.
+ * Guards against cancel requests that are lost when the event loop is late. A statement and its
+ * cancel request, on another connection, are then read in the same pass. As statements are started
+ * only after all input is read, the cancel once found no statement to stop, and the statement ran.
  */
 class CancelBeforeStatementTest {
   private static final long ARRIVAL_MS = 50;
@@ -25,7 +25,7 @@
   void start() throws Exception {
     stand = new Stand(0, "databases { db { places { most = 1 } } }");
     client = stand.wire();
-    assertThat(client.ask("SELECT 1")).startsWith("T D:1"); // a server connection is up
+    assertThat(client.ask("SELECT 1")).startsWith("T D:1"); // a server connection is open
   }
 
   @AfterEach
@@ -36,7 +36,7 @@
 
   private void sendAndCancel(byte[]... messages) throws Exception {
     try (PgWire other = new PgWire(stand.address())) {
-      try (DaemonLoop hold = DaemonLoop.hold(stand.daemon)) {
+      try (DaemonLoop pausedLoop = DaemonLoop.hold(stand.daemon)) {
         for (byte[] message : messages) {
           client.bytes(message);
         }
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void onlyTheFirstStatementInLineIsCancelled() throws Exception {
+  void onlyTheFirstQueuedStatementIsCancelled() throws Exception {
     sendAndCancel(Frame.query("SELECT 41").wire(), Frame.query("SELECT 42").wire());
     assertThat(PgWire.brief(client.untilReady())).isEqualTo("E:57014 Z:I");
     assertThat(PgWire.brief(client.untilReady())).isEqualTo("T D:42 C:SELECT 1 Z:I");
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void aCancelBehindNothingCancelsNothing() throws Exception {
+  void aCancelWithoutAStatementHasNoEffect() throws Exception {
     sendAndCancel(Frame.SYNC.wire());
     assertThat(PgWire.brief(client.untilReady())).isEqualTo("Z:I");
     assertThat(client.ask("SELECT 3")).isEqualTo("T D:3 C:SELECT 1 Z:I");
--- a/src/test/java/crankspar/pooling/DriverTest.java
+++ b/src/test/java/crankspar/pooling/DriverTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.postgresql.PGConnection;
 
-/** The real JDBC driver, as our app servers use it, in both modes. */
+/** The PostgreSQL JDBC driver through the pooler, in session and transaction mode. */
 class DriverTest {
   private static String database(String mode, int places) {
     return "databases { db { mode = " + mode + ", places { most = " + places + " } } }";
--- a/src/test/java/crankspar/pooling/FrontTest.java
+++ b/src/test/java/crankspar/pooling/FrontTest.java
@@ -12,12 +12,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What users and operators see of the pooling front. */
+/** The pooling front end to end, as clients and operators see it. */
 class FrontTest {
   private static final String DB = "databases { db { } }";
 
   @Test
-  void aStartIsAnsweredWholeWhateverItAsksFor() throws Exception {
+  void startupIsAnsweredWhateverVersionAndOptionsItAsksFor() throws Exception {
     try (var stand = new Stand(0, DB)) {
       try (var w = new PgWire(stand.address())) {
         w.bytes(new byte[] {0, 0, 0, 8, 4, (byte) 0xd2, 0x16, 0x2f}); // SSLRequest
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void usersAndAServersOwnRefusalAreHeard() throws Exception {
+  void unknownUsersAndServerLoginErrorsAreReported() throws Exception {
     try (var stand =
         new Stand(
             0,
@@ -80,7 +80,7 @@
         silent.setSoTimeout(PgWire.PATIENCE_MS);
         byte[] told = silent.getInputStream().readAllBytes();
         assertThat(new String(told, StandardCharsets.UTF_8))
-            .contains("no whole start came in time");
+            .contains("no complete startup message arrived in time");
       }
       try (PgWire c = stand.wire()) {
         assertThat(c.ask("SELECT 1")).startsWith("T D:1");
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void bytesThatCannotBeReadEndTheirConnectionOnly() throws Exception {
+  void malformedMessagesCloseOnlyTheirConnection() throws Exception {
     try (var stand = new Stand(0, DB);
         PgWire good = stand.wire()) {
       for (byte[] bad :
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void answersComeAsTheyDoWhereAClientFlushes() throws Exception {
+  void flushReturnsRepliesBeforeTheSync() throws Exception {
     try (var stand = new Stand(0, DB);
         PgWire w = stand.wire()) {
       w.send(
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void sqlLevelStatementsAreCarried() throws Exception {
+  void sqlLevelPreparedStatementsFollowTheClient() throws Exception {
     try (var stand = new Stand(0, "databases { db { places { most = 1 } } }");
         PgWire a = stand.wire();
         PgWire b = stand.wire()) {
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void whatNoMessageCarriesPinsUntilItIsOver() throws Exception {
+  void serverSideStatePinsTheConnectionUntilItIsReleased() throws Exception {
     try (var stand = new Stand(0, "databases { db { places { most = 2 } } }");
         PgWire a = stand.wire();
         PgWire b = stand.wire();
@@ -191,7 +191,7 @@
   }
 
   @Test
-  void whatTheOperatorRefusesIsRefusedByName() throws Exception {
+  void pinsRefusedByConfigurationFailWithAnError() throws Exception {
     try (var stand = new Stand(0, "pins { listen = refuse, lock = refuse }\n" + DB);
         PgWire w = stand.wire()) {
       assertThat(w.ask("LISTEN news")).isEqualTo("E:0A000 Z:I");
@@ -205,7 +205,7 @@
   }
 
   @Test
-  void transactionsThatStandStillAreEnded() throws Exception {
+  void idleAndOverlongTransactionsAreEnded() throws Exception {
     try (var stand =
             new Stand(0, "limits { idle-in-transaction = 200ms, transaction = 500ms }\n" + DB);
         PgWire a = stand.wire();
@@ -226,7 +226,7 @@
 
   @Test
   void aSessionReadSeesItsOwnCommit() throws Exception {
-    // Replicas 10 s behind: only the primary can show what was committed just now.
+    // Replicas lag by 10 s: only the primary can show the rows just committed.
     try (var stand =
             new Stand(2, "databases { db { select-class = my-roster } }", s -> s.lag(10_000));
         PgWire w = stand.wire()) {
@@ -241,7 +241,7 @@
   }
 
   @Test
-  void aWriteFindsThePrimaryWhateverTheListSays() throws Exception {
+  void aWriteReachesThePrimaryWhateverTheListSays() throws Exception {
     try (var stand = new Stand(2, DB);
         PgWire w = stand.wire()) {
       stand.primary.role(false);
@@ -259,7 +259,7 @@
   }
 
   @Test
-  void theConsoleTellsAndPauses() throws Exception {
+  void theConsoleShowsTablesAndPausesDatabases() throws Exception {
     try (var stand = new Stand(0, DB);
         PgWire w = stand.wire();
         PgWire admin = PgWire.to(stand.address(), "admin", "crankspar")) {
@@ -285,7 +285,7 @@
   }
 
   @Test
-  void aChangedFileTakesEffectAndNoClientIsLost() throws Exception {
+  void reloadTakesEffectWithoutLosingClients() throws Exception {
     try (var stand = new Stand(0, "databases { db { places { most = 1 } }, old { } }");
         PgWire a = stand.wire();
         PgWire b = stand.wire();
@@ -305,7 +305,7 @@
   }
 
   @Test
-  void aStopEndsIdleClientsAndLetsTransactionsEnd() throws Exception {
+  void shutdownClosesIdleClientsAndLetsTransactionsFinish() throws Exception {
     var stand = new Stand(0, DB);
     try (stand;
         PgWire idle = stand.wire();
@@ -330,7 +330,7 @@
   }
 
   @Test
-  void aFatalAnswerOfAServerInTheMidstOfATransaction() throws Exception {
+  void lostServerConnectionsInTransactionsAreReported() throws Exception {
     try (var stand = new Stand(0, DB)) {
       var wires = new ArrayList<PgWire>();
       for (int i = 0; i < 5; i++) {
--- a/src/test/java/crankspar/pooling/ReleaseActionTest.java
+++ b/src/test/java/crankspar/pooling/ReleaseActionTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What must be so before a connection may be another client's, over all conditions. */
+/** The action at a connection's release, over all conditions. */
 class ReleaseActionTest {
   private static final boolean[] EITHER = {false, true};
 
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Guards against any state of its last client's on a connection that is free. */
+  /** Guards against reusing a connection that still has state of its last client. */
   @Test
   void onlyACleanConnectionIsReused() {
     forEach(
@@ -42,7 +42,7 @@
                 .isEqualTo(condition.equals(ReleaseAction.Condition.clean(false, 0))));
   }
 
-  /** Guards against a ROLLBACK that commits a batch, or that the server passes over. */
+  /** Guards against a ROLLBACK that commits an open batch, or that the server ignores. */
   @Test
   void nothingIsSentIntoAnOpenBatchOrAnAnswer() {
     forEach(
--- a/src/test/java/crankspar/pooling/SharedConnectionsTest.java
+++ b/src/test/java/crankspar/pooling/SharedConnectionsTest.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Clients that share few connections: ends, drains, pipelines and turns. */
+/** Many clients on few server connections: disconnects, drains, pipelines and fair queueing. */
 class SharedConnectionsTest extends HardCasesFixture {
-  // ---- 4. Clients that die.
+  // ---- 4. Clients that disconnect.
   @Test
-  void whatADeadClientLeavesIsRolledBack() throws Exception {
+  void workOfADisconnectedClientIsRolledBack() throws Exception {
     try (var stand = new Stand(0, places(1));
         PgWire next = stand.wire()) {
       PgWire a = stand.wire();
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aSessionsConnectionIsCleanedBeforeTheNextHasIt() throws Exception {
+  void aSessionConnectionIsResetBeforeReuse() throws Exception {
     try (var stand = new Stand(0, "databases { db { mode = session, places { most = 1 } } }")) {
       try (PgWire a = stand.wire()) {
         a.ask("SET TIME ZONE 'Asia/Tokyo'");
@@ -68,9 +68,9 @@
     }
   }
 
-  // ---- 5. Servers that die or drain, errors and long pipelines.
+  // ---- 5. Servers that fail or drain, errors and long pipelines.
   @Test
-  void aServerThatDiesWith500ClientsOn20Connections() throws Exception {
+  void aServerFailsWith500ClientsOn20Connections() throws Exception {
     try (var stand = new Stand(0, places(20), s -> s.work(1, 8))) {
       var clients = new ArrayList<PgWire>();
       for (int i = 0; i < 500; i++) {
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void anOpenTransactionGoesOnWhileItsServerDrainsWithinItsBound() throws Exception {
+  void anOpenTransactionMayFinishWithinTheDrainTimeout() throws Exception {
     try (var stand =
             new Stand(
                 1,
@@ -131,7 +131,7 @@
       assertThat(w.ask("COMMIT")).isEqualTo("C:COMMIT Z:I");
       List<Executed> all = stand.recording.executed();
       assertThat(all.get(all.size() - 1).server).isNotEqualTo(server);
-      // One that takes longer than the bound is ended.
+      // A transaction that exceeds the drain timeout is ended.
       assertThat(w.ask("BEGIN READ ONLY")).isEqualTo("C:BEGIN Z:T");
       String now = stand.recording.executed().get(stand.recording.executed().size() - 1).server;
       call(stand, "/-/league-databases/" + (now.equals("primary") ? "p" : "r0") + "/disable");
@@ -141,7 +141,7 @@
   }
 
   @Test
-  void aServerThatDrainsWith500ClientsOn20Connections() throws Exception {
+  void aServerDrainsWith500ClientsOn20Connections() throws Exception {
     try (var stand =
         new Stand(
             1,
@@ -169,7 +169,7 @@
   }
 
   @Test
-  void aPrimaryThatChangesWithinATransaction() throws Exception {
+  void thePrimaryChangesWithinATransaction() throws Exception {
     try (var stand = new Stand(1, places(5));
         PgWire w = stand.wire()) {
       assertThat(w.ask("BEGIN")).isEqualTo("C:BEGIN Z:T");
@@ -190,7 +190,7 @@
   }
 
   @Test
-  void aSetInATransactionThatIsRolledBackIsGone() throws Exception {
+  void aSetIsUndoneWithItsTransaction() throws Exception {
     try (var stand = new Stand(0, places(2));
         PgWire a = stand.wire();
         PgWire b = stand.wire()) {
@@ -211,7 +211,7 @@
   }
 
   @Test
-  void anErrorInsideAPipelineAndWhatFollowsIt() throws Exception {
+  void anErrorInAPipelineSkipsToTheNextSync() throws Exception {
     try (var stand = new Stand(0, places(1));
         PgWire w = stand.wire()) {
       w.send(
@@ -267,9 +267,12 @@
     }
   }
 
-  /** Guards against a statement of SQL's that a failed change of hands has taken from others. */
+  /**
+   * Guards against a SQL-level prepared statement that another client loses when applying a
+   * client's state fails.
+   */
   @Test
-  void aClientWhoseStateCannotBeCarriedTakesNothingFromTheNext() throws Exception {
+  void aFailedStateChangeDoesNotAffectTheNextClient() throws Exception {
     try (var stand = new Stand(0, places(1));
         PgWire a = stand.wire();
         PgWire b = stand.wire()) {
@@ -283,7 +286,7 @@
 
   // ---- 6. A burst.
   @Test
-  void aBurstOf2000ClientsOn20PlacesTakesFairTurns() throws Exception {
+  void aBurstOf2000ClientsOn20SlotsIsServedFairly() throws Exception {
     try (var stand =
         new Stand(
             0, "limits { clients = 2100, waiting = 2100 }\n" + places(20), s -> s.work(1, 64))) {
@@ -304,7 +307,7 @@
           all = (System.nanoTime() - start) / 1e6;
           calm = i == 1900 ? all : calm;
         }
-        // The calm user's hundred had every second turn, not the last ones.
+        // The calm user's 100 requests got every second slot, not the last ones.
         assertThat(calm).isLessThan(0.8 * all + 100);
       } finally {
         for (PgWire w : clients) {
@@ -315,7 +318,7 @@
   }
 
   @Test
-  void aWaitIsBoundedAndThenRefused() throws Exception {
+  void aWaitingRequestIsRefusedAtItsDeadline() throws Exception {
     try (var stand = new Stand(0, places(1));
         PgWire a = stand.wire();
         PgWire b = stand.wire()) {
