--- a/src/main/java/crankspar/pooling/AdmissionQueue.java
+++ b/src/main/java/crankspar/pooling/AdmissionQueue.java
@@ -206,6 +206,7 @@
     return reserve ? longestWaiter(now) : null;
   }
 
+  /** The request that has waited longest, if it has waited long enough for a reserve slot. */
   private Waiter longestWaiter(double now) {
     Waiter longest = null;
     for (Map.Entry<String, UserQueue> e : users.entrySet()) {
--- a/src/main/java/crankspar/pooling/ReleaseAction.java
+++ b/src/main/java/crankspar/pooling/ReleaseAction.java
@@ -46,6 +46,7 @@
     }
   }
 
+  /** Chooses the action; when several apply, the most drastic one wins. */
   static ReleaseAction forCondition(Condition condition) {
     if (condition.mustClose()
         || condition.answersPending()
--- a/src/main/java/crankspar/pooling/ServerConnections.java
+++ b/src/main/java/crankspar/pooling/ServerConnections.java
@@ -121,6 +121,7 @@
   }
 
   // ---- Members.
+  /** Adds a member or changes its address, in which case its old connections are retired. */
   @Override
   public void locate(String id, InetSocketAddress address) {
     probes.locate(id, address);
--- a/src/main/java/crankspar/pooling/ServerState.java
+++ b/src/main/java/crankspar/pooling/ServerState.java
@@ -12,6 +12,7 @@
 
 /** The session state of one server connection, as far as it was set through the pooler. */
 final class ServerState {
+  /** Bounds the stale marks that are kept for statements not known to be prepared here. */
   private static final int MAX_STALE = 64;
 
   private final Transactional<PMap<String, String>> options =
