--- a/src/main/java/crankspar/BenchLink.java
+++ b/src/main/java/crankspar/BenchLink.java
@@ -17,23 +17,23 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 
-/** The adapter: translates the simulator's wire to {@link Router} and back. It decides nothing. */
+/** Adapter between the simulator's wire protocol and {@link Router}; makes no routing decisions. */
 public final class BenchLink {
-    /** Input that does not follow the wire page; the message says what and where. */
+    /** Input that does not follow the wire format; the message names the fault and its place. */
     public static final class Malformed extends RuntimeException {
         Malformed(String message) { super(message); }
     }
 
     private static final String[] STATUS_CODES = {"10", "20", "30", "40", "50", "60", "70", "80", "90"};
-    private final BiFunction<Router.Settings, Router.Actions, Router> maker;
+    private final BiFunction<Router.Settings, Router.Actions, Router> routerFactory;
     private final Map<Long, Instance> instances = new TreeMap<>();
-    private final Map<Integer, List<Router.Member>> lists = new HashMap<>();
+    private final Map<Integer, List<Router.Member>> memberLists = new HashMap<>();
     private JsonGenerator out;
     private double now;
     private long line;
     private String event = "batch";
 
-    public BenchLink(BiFunction<Router.Settings, Router.Actions, Router> maker) { this.maker = maker; }
+    public BenchLink(BiFunction<Router.Settings, Router.Actions, Router> maker) { this.routerFactory = maker; }
 
     public void run(BufferedReader in, OutputStream stream) throws IOException {
         var bytes = new ByteArrayOutputStream(1 << 16);
@@ -66,9 +66,9 @@
                 String key = p.currentName();
                 p.nextToken();
                 switch (key) {
-                    case "Moment" -> moment = as(Number.class, Json.value(p), key);
-                    case "turn" -> turn = as(Number.class, Json.value(p), key);
-                    case "input" -> events = as(List.class, Json.value(p), key);
+                    case "Moment" -> moment = cast(Number.class, Json.value(p), key);
+                    case "turn" -> turn = cast(Number.class, Json.value(p), key);
+                    case "input" -> events = cast(List.class, Json.value(p), key);
                     default -> p.skipChildren();
                 }
             }
@@ -85,7 +85,7 @@
         out.writeNumberField("turn", turn.longValue());
         out.writeArrayFieldStart("cmds");
         for (Object one : events) {
-            event(new Fields(as(List.class, one, "input")));
+            event(new Fields(cast(List.class, one, "input")));
         }
         out.writeEndArray();
         out.writeEndObject();
@@ -96,15 +96,15 @@
         event = "event";
         event = f.text(0, "event name");
         if (event.equals("Catalog")) {
-            lists.put((int) f.whole(1, "Slot"), members(f.list(2, "Records")));
+            memberLists.put((int) f.whole(1, "Slot"), members(f.list(2, "Records")));
             return;
         }
         long id = f.whole(1, "I");
         if (event.equals("Spawn")) {
             long seed = f.whole(2, "Nonce64");
-            var actions = new Out(id);
+            var actions = new ReplyActions(id);
             try {
-                var instance = new Instance(SettingsReader.read(f.map(3, "Env"), seed), actions, maker);
+                var instance = new Instance(SettingsReader.read(f.map(3, "Env"), seed), actions, routerFactory);
                 instances.put(id, instance);
                 instance.router.onStart(now);
             } catch (Malformed e) {
@@ -112,7 +112,7 @@
             } catch (IllegalArgumentException e) {
                 throw new Malformed(e.getMessage());
             } catch (RuntimeException e) {
-                fault(actions, e);
+                writeFault(actions, e);
             }
             return;
         }
@@ -128,11 +128,11 @@
         try {
             call.run();
         } catch (RuntimeException e) {
-            fault(at.actions, e);
+            writeFault(at.actions, e);
         }
     }
 
-    /** The fields are read here, so that what is malformed is told apart from a failure of the decisions. */
+    /** Reads the fields before the call, so that malformed input is distinguished from a failure of the policy. */
     private Runnable call(Instance at, Fields f) {
         Router r = at.router;
         switch (event) {
@@ -142,7 +142,7 @@
                     return () -> r.onWatchLost(now);
                 }
                 int slot = (int) f.whole(4, "Slot");
-                List<Router.Member> entries = lists.get(slot);
+                List<Router.Member> entries = memberLists.get(slot);
                 if (entries == null) {
                     throw new Malformed("no Catalog in slot " + slot);
                 }
@@ -179,8 +179,8 @@
                 var result = new Router.ProbeResult(f.text(2, "Database"), f.whole(3, "Verdict") == 10,
                         f.number(4, "Elapsed"),
                         x1 == null ? Router.Role.UNKNOWN
-                                : as(Number.class, x1, "x1").doubleValue() >= 0.5 ? Router.Role.PRIMARY : Router.Role.REPLICA,
-                        x0 == null ? Double.NaN : at.countedFrom + 1000 * as(Number.class, x0, "x0").doubleValue());
+                                : cast(Number.class, x1, "x1").doubleValue() >= 0.5 ? Router.Role.PRIMARY : Router.Role.REPLICA,
+                        x0 == null ? Double.NaN : at.countedFrom + 1000 * cast(Number.class, x0, "x0").doubleValue());
                 return () -> r.onProbe(now, result);
             }
             case "Lapsed": {
@@ -226,7 +226,7 @@
     private static List<Router.Member> members(List<?> records) {
         var members = new ArrayList<Router.Member>(records.size());
         for (Object record : records) {
-            var f = new Fields(as(List.class, record, "Records"));
+            var f = new Fields(cast(List.class, record, "Records"));
             String health = f.text(4, "Health");
             members.add(new Router.Member(f.text(2, "Database"), f.text(0, "Hall"), f.optNumber(1, 0) >= 0.5,
                     f.optNumber(3, 1), switch (health) {
@@ -239,12 +239,12 @@
         return members;
     }
 
-    private static void fault(Out actions, RuntimeException e) {
+    private static void writeFault(ReplyActions actions, RuntimeException e) {
         var at = e.getStackTrace();
-        actions.put("Fault", e + (at.length > 0 ? " at " + at[0] : ""));
+        actions.write("Fault", e + (at.length > 0 ? " at " + at[0] : ""));
     }
 
-    private static <T> T as(Class<T> type, Object value, String field) {
+    private static <T> T cast(Class<T> type, Object value, String field) {
         if (!type.isInstance(value)) {
             throw new Malformed((value == null ? "missing field " : "wrong type of field ") + field);
         }
@@ -253,11 +253,11 @@
 
     private static final class Instance {
         final Router router;
-        final Out actions;
+        final ReplyActions actions;
         final double countedFrom;
         final Map<String, Integer> classNumbers = new HashMap<>();
 
-        Instance(Router.Settings settings, Out actions,
+        Instance(Router.Settings settings, ReplyActions actions,
                  BiFunction<Router.Settings, Router.Actions, Router> maker) {
             this.actions = actions;
             countedFrom = settings.positionEpoch();
@@ -266,27 +266,27 @@
         }
     }
 
-    /** The values of one event or entry, by place. */
+    /** The values of one event or entry, by position. */
     private record Fields(List<?> values) {
         Object at(int i) { return i < values.size() ? values.get(i) : null; }
-        String text(int i, String field) { return as(String.class, at(i), field); }
-        double number(int i, String field) { return as(Number.class, at(i), field).doubleValue(); }
-        long whole(int i, String field) { return as(Number.class, at(i), field).longValue(); }
-        boolean flag(int i, String field) { return as(Boolean.class, at(i), field); }
-        List<?> list(int i, String field) { return as(List.class, at(i), field); }
-        Map<?, ?> map(int i, String field) { return as(Map.class, at(i), field); }
+        String text(int i, String field) { return cast(String.class, at(i), field); }
+        double number(int i, String field) { return cast(Number.class, at(i), field).doubleValue(); }
+        long whole(int i, String field) { return cast(Number.class, at(i), field).longValue(); }
+        boolean flag(int i, String field) { return cast(Boolean.class, at(i), field); }
+        List<?> list(int i, String field) { return cast(List.class, at(i), field); }
+        Map<?, ?> map(int i, String field) { return cast(Map.class, at(i), field); }
         String optText(int i) { return at(i) == null ? null : text(i, "of text"); }
         double optNumber(int i, double absent) { return at(i) == null ? absent : number(i, "of a number"); }
         Map<?, ?> optMap(int i) { return at(i) instanceof Map<?, ?> m ? m : Map.of(); }
     }
 
     /** Writes an instance's actions into the reply. */
-    private final class Out implements Router.Actions {
+    private final class ReplyActions implements Router.Actions {
         private final long id;
 
-        Out(long id) { this.id = id; }
+        ReplyActions(long id) { this.id = id; }
 
-        private void put(String name, Object... values) {
+        private void write(String name, Object... values) {
             try {
                 out.writeStartArray();
                 out.writeString(name);
@@ -308,14 +308,14 @@
             }
         }
 
-        @Override public void send(String request, String member, double timeout) { put("Try", request, member, timeout); }
-        @Override public void refuse(String request, double retryIn) { put("Decline", request, retryIn); }
-        @Override public void fail(String request) { put("Abort", request); }
-        @Override public void cancel(String request, int attempt) { put("StopAttempt", request, attempt); }
-        @Override public void setTimer(double delay, long cookie) { put("Defer", delay, cookie); }
-        @Override public void probe(String member) { put("Inspect", member); }
-        @Override public void watchDiscovery(boolean on) { put("StreamChanges", on); }
-        @Override public void log(String text) { put("Record", text); }
-        @Override public void broadcast(byte[] message) { put("WritePeer", "*", java.util.HexFormat.of().formatHex(message)); }
+        @Override public void send(String request, String member, double timeout) { write("Try", request, member, timeout); }
+        @Override public void refuse(String request, double retryIn) { write("Decline", request, retryIn); }
+        @Override public void fail(String request) { write("Abort", request); }
+        @Override public void cancel(String request, int attempt) { write("StopAttempt", request, attempt); }
+        @Override public void setTimer(double delay, long cookie) { write("Defer", delay, cookie); }
+        @Override public void probe(String member) { write("Inspect", member); }
+        @Override public void watchDiscovery(boolean on) { write("StreamChanges", on); }
+        @Override public void log(String text) { write("Record", text); }
+        @Override public void broadcast(byte[] message) { write("WritePeer", "*", java.util.HexFormat.of().formatHex(message)); }
     }
 }
--- a/src/main/java/crankspar/Router.java
+++ b/src/main/java/crankspar/Router.java
@@ -5,26 +5,28 @@
 import java.util.Set;
 
 /**
- * What a proxy tells the decision module, and what the module may do. All times are milliseconds on
- * the proxy's own clock, handed in as {@code now}; it never goes backwards. Calls for one instance
- * come from one thread; what the module does through {@link Actions} inside a call takes effect at
- * that call's time.
+ * Interface between the proxy and its routing policy: events go in by the methods here, commands
+ * come out through {@link Actions}. All times are milliseconds on the proxy's monotonic clock,
+ * passed as {@code now}. Calls for one instance come from one thread; actions performed within a
+ * call take effect at that call's time.
  */
 public interface Router {
-  /** How a class of requests may be repeated. */
+  /** Whether requests of a class may be repeated: always, under an idempotency key, or never. */
   enum Repeat {
     SAFE,
     KEYED,
     UNSAFE
   }
 
-  /** Where a keyed request's repeats are dropped: in any database, or in its own group only. */
+  /**
+   * Where repeats of a keyed request are deduplicated: in all databases, or in its own group only.
+   */
   enum DedupScope {
     ALL,
     GROUP
   }
 
-  /** How fresh a class's data must be; WRITE is taken by the primary alone. */
+  /** How fresh a class's data must be; {@code WRITE} is served by the primary only. */
   enum Freshness {
     WRITE,
     FRESH,
@@ -33,14 +35,14 @@
     ANY
   }
 
-  /** What a replica does with a read it is too far behind for. */
+  /** How a replica handles a read that needs a newer position than it has replayed. */
   enum LaggingRead {
     ANSWERS,
     REFUSES,
     WAITS
   }
 
-  /** How the member list follows the primary. */
+  /** When the member list shows who is primary: with a delay, at the start only, or never. */
   enum RoleInList {
     LATE,
     AT_START,
@@ -48,14 +50,15 @@
   }
 
   /**
-   * How a session read's need is told: carried with the request, or to be remembered by the module.
+   * Who keeps the position that a session's reads must see: the request carries it, or the policy
+   * remembers it.
    */
   enum SessionMarks {
     CARRIED,
     REMEMBERED
   }
 
-  /** Where members put their own reports. */
+  /** Where members report their position and role. */
   enum Reports {
     NONE,
     IN_ANSWERS,
@@ -75,8 +78,8 @@
   }
 
   /**
-   * CHANGES: changed entries only; FULL: everything; OLD_COPY: everything as last seen, perhaps
-   * stale.
+   * Content of a member list. CHANGES: changed entries only; FULL: all entries; OLD_COPY: all
+   * entries as last seen, possibly stale.
    */
   enum ListKind {
     CHANGES,
@@ -84,7 +87,7 @@
     OLD_COPY
   }
 
-  /** How an attempt ended; {@code neverRan} is proof that it had no effect. */
+  /** How an attempt ended; {@code neverRan} holds where the status proves that it had no effect. */
   enum Status {
     OK(false),
     ERROR(false),
@@ -103,8 +106,8 @@
   }
 
   /**
-   * A class of requests: aim and give-up time (ms), worth, share of it kept when late, bound and
-   * key time (ms).
+   * A class of requests: target latency and timeout (ms), value of an answer, share of the value
+   * that a late answer keeps, lifetime of idempotency keys and staleness bound (ms).
    */
   record RequestClass(
       String name,
@@ -130,7 +133,11 @@
     }
   }
 
-  /** Figures of the rules, ms but for the shares {@code coldFrom} and {@code fallMultiple}. */
+  /**
+   * Parameters of the guarantees, in ms except the ratios {@code initialColdShare} and {@code
+   * fallMultiple}. With {@code softRemoval}, members listed as gone or missing stay in use; only
+   * draining is binding.
+   */
   record Guarantees(
       double answerSlack,
       double maxDiscoveryGap,
@@ -151,7 +158,7 @@
     }
   }
 
-  /** What the site permits; times in ms. */
+  /** What the deployment permits; times in ms. */
   record Limits(
       int maxAttempts,
       boolean hedging,
@@ -170,10 +177,13 @@
     }
   }
 
-  /** Points taken off per unit: see the deployment's own page. */
+  /** Costs per unit, as the deployment's documentation defines them. */
   record Prices(double crossZone, double waste, double probe, double lateFail, double peer) {}
 
-  /** Start-up settings of one instance; {@code round} is the shortest gap between batches (ms). */
+  /**
+   * Start-up settings of one instance; {@code batchInterval} is the shortest gap between batches
+   * (ms).
+   */
   record Settings(
       long seed,
       String zone,
@@ -203,7 +213,10 @@
     }
   }
 
-  /** One entry of the member list; {@code lastStart} is a clock time, 0 for the distant past. */
+  /**
+   * One entry of the member list; {@code lastStart} is a clock time, 0 where the start is long
+   * past.
+   */
   record Member(
       String id,
       String zone,
@@ -215,14 +228,15 @@
       double lastStart) {}
 
   /**
-   * A client's request; {@code ttl} ms are left; {@code markAge} is ms since the session's last
-   * commit, or -1.
+   * A client's request; {@code ttl} is the remaining time (ms); {@code markAge} is the time (ms)
+   * since the session's last commit, or -1.
    */
   record Request(
       String id, int requestClass, double ttl, String session, double markAge, int group) {}
 
   /**
-   * How attempt {@code number} ended; {@code position} is a clock time, NaN where none was told.
+   * How attempt {@code number} ended; {@code position} is a clock time, NaN where none was
+   * reported.
    */
   record Outcome(
       String request,
@@ -234,18 +248,25 @@
       Role role,
       double position) {}
 
-  /** What a probe found; {@code position} is a clock time or NaN, both as of the report. */
+  /**
+   * Result of a probe; {@code position} is a clock time or NaN, and holds like {@code role} as of
+   * the member's report.
+   */
   record ProbeResult(String member, boolean ok, double elapsed, Role role, double position) {}
 
   /**
-   * What peers told of a member: its position (a clock time) as last heard {@code at} another, with
-   * its role as of that position, and how many of all peers' requests are in flight there, negative
-   * where that is not known (any more): in one call for all members or for none. Both times are
-   * negative infinity where only that number is news: it is no sign of life.
+   * What peers reported about a member: its position (a clock time), last heard by another instance
+   * at {@code heardAt}, its role as of that position, and how many requests of all peers are in
+   * flight there. That number is negative where it is not or no longer known; within one call it is
+   * known for all members or for none. Both times are negative infinity where only that number is
+   * new: it is no sign of life.
    */
   record PeerReport(String member, Role role, double position, double heardAt, int inFlight) {}
 
-  /** What the module may do. Positive delays in ms; times out at the client's own limit when 0. */
+  /**
+   * Commands of the policy. Delays are positive, in ms; a {@code timeout} of 0 stands for the
+   * client's own limit.
+   */
   interface Actions {
     void send(String request, String member, double timeout);
 
@@ -263,7 +284,7 @@
 
     void log(String text);
 
-    /** Told to every other instance, if it arrives: 256 bytes at most. */
+    /** Sends a message of at most 256 bytes to every other instance; delivery is not guaranteed. */
     default void broadcast(byte[] message) {}
   }
 
@@ -271,7 +292,7 @@
 
   void onMembers(double now, ListKind kind, List<Member> members);
 
-  /** A discovery call failed or the watch was lost; the old list still holds. */
+  /** A discovery call failed or the watch was lost; the last list stays valid. */
   void onWatchLost(double now);
 
   void onRequest(double now, Request request);
@@ -280,34 +301,35 @@
 
   void onProbe(double now, ProbeResult result);
 
-  /** This process has stood still until now: nobody could be heard meanwhile. */
+  /** The process was stalled until now and could receive nothing in that time. */
   default void onStall(double now) {}
 
   /**
-   * The databases' clock is found to be ahead of {@code now} by this much (ms). Positions and marks
-   * are told by our clock from now on; positions told before may be of theirs.
+   * The databases' clock was found to be ahead of {@code now} by this much (ms). From now on
+   * positions and marks are converted to the proxy's clock; positions reported before may be by the
+   * databases' clock.
    */
   default void onDatabaseClock(double now, double ahead) {}
 
-  /** A message from another instance, as it came. */
+  /** A message from another instance, as received. */
   default void onPeerMessage(double now, byte[] message) {}
 
-  /** What another instance has learned first-hand. */
+  /** What other instances observed themselves; see {@link PeerReport}. */
   default void onPeerReports(double now, List<PeerReport> reports) {}
 
-  /** Counts since the start, for operators. */
+  /** Counters since the start, for operators. */
   default Map<String, Long> counters() {
     return Map.of();
   }
 
-  /** The client left: nothing is owed for the request any more. */
+  /** The client left: the request needs no final answer any more. */
   void onClientGone(double now, String request);
 
   void onTimer(double now, long cookie);
 
   /**
-   * The listed members that get no work now, or trials only: a view for operators, which changes
-   * nothing.
+   * The listed members that currently get no requests, or trials only. Read-only view for
+   * operators.
    */
   Set<String> avoided();
 
--- a/src/main/java/crankspar/policy/Balance.java
+++ b/src/main/java/crankspar/policy/Balance.java
@@ -7,38 +7,43 @@
 import java.util.stream.Collectors;
 
 /**
- * The decisions of one proxy. Its types, events and actions stand in Router.java.
+ * The routing policy of one proxy. Its types, events and actions are declared in Router.java.
  *
- * <p>The ordinary path: zones are sorted by the latency this instance measured; a read goes to the
- * nearest zone with a replica whose known log position meets the read's need, else to the next
- * zone, else to the primary. Writes and fresh reads go to the member last named primary. Everything
- * else here keeps that path sound when the world is not: it waits in line, in the proxy, rather
- * than pile up on a member.
+ * <p>Normally zones are sorted by the latency that this instance measured; a read goes to the
+ * nearest zone with a replica whose known log position is fresh enough, else to the next zone, else
+ * to the primary. Writes and fresh reads go to the member last reported as primary. The rest
+ * handles faults and overload: requests wait in the proxy's queue and do not pile up on a member.
  */
 public final class Balance extends Outcomes {
-  /** Mean answers' time that must be left for a send to be worth while. */
-  static final double SLACK = 1.5;
+  /** Mean answer times that must be left before the deadline for a send to be worthwhile. */
+  static final double MIN_ANSWER_TIMES = 1.5;
 
   /**
-   * A read never sent is refused after this share of its time, if then only late worth is left at
-   * most.
+   * A read that was never sent is refused after this share of its time to live, if at most the
+   * value of a late answer is left.
    */
-  static final double HOLD = 0.49;
+  static final double UNSENT_READ_SHARE = 0.49;
 
-  /** As OWED, where peers have heard it since, or cannot tell: it is slow, or the way is cut. */
-  static final double OWED_MOST = 18;
+  /**
+   * As {@link #OVERDUE_LIMIT}, where peers have heard the member since, or report nothing: the
+   * member is slow, or only the link to it is cut.
+   */
+  static final double MAX_OVERDUE = 18;
 
-  /** Nothing came for this share of the oldest one's aim, too: a crowd is slow, not silent. */
+  /**
+   * A silent member must also have sent nothing for this share of the oldest attempt's target
+   * latency: an overloaded member is slow, not silent.
+   */
   static final double SILENT_SHARE = 0.5;
 
-  /** A trial's answer is owed this often before its request is sent elsewhere. */
-  static final double TRIAL_OWED = 1.5;
+  /** Mean answer times after which an unanswered trial request is sent elsewhere. */
+  static final double TRIAL_OVERDUE = 1.5;
 
-  /** Share of a key's time that is used, as a resend travels and waits. */
-  static final double KEY_SHARE = 0.9;
+  /** Share of a key's lifetime in which resends are allowed; they travel and wait too. */
+  static final double KEY_TTL_SHARE = 0.9;
 
-  /** Requests looked at in one walk through a line. */
-  static final int SCAN = 48;
+  /** Requests examined in one pass over a queue. */
+  static final int MAX_QUEUE_SCAN = 48;
 
   public Balance(Settings settings, Actions actions) {
     super(settings, actions);
@@ -50,7 +55,7 @@
     if (settings.watchDiscovery()) {
       actions.watchDiscovery(true);
     }
-    after(PERIOD, this::everyPeriod);
+    schedule(PERIOD_MS, this::everyPeriod);
   }
 
   @Override
@@ -60,26 +65,27 @@
   }
 
   /**
-   * Asks again with a doubling, jittered wait, well within the time after which lists count as
-   * told.
+   * Queries discovery again with exponential backoff and jitter, well within the time after which
+   * an instance counts as informed.
    */
   @Override
   public void onWatchLost(double at) {
     now = at;
-    double wait = askGap * (0.5 + random.nextDouble());
-    double most = Math.min(ASK_MOST, settings.guarantees().maxDiscoveryGap() / 4);
-    askGap = Math.min(2 * askGap, Math.max(ASK_FIRST, most));
-    after(wait, () -> actions.watchDiscovery(true));
+    double wait = watchRetryDelay * (0.5 + random.nextDouble());
+    double most = Math.min(MAX_WATCH_RETRY_MS, settings.guarantees().maxDiscoveryGap() / 4);
+    watchRetryDelay = Math.min(2 * watchRetryDelay, Math.max(INITIAL_WATCH_RETRY_MS, most));
+    schedule(wait, () -> actions.watchDiscovery(true));
   }
 
   @Override
   public void onMembers(double at, ListKind kind, List<Member> members) {
     now = at;
     if (kind != ListKind.OLD_COPY) {
-      askGap = ASK_FIRST;
+      watchRetryDelay = INITIAL_WATCH_RETRY_MS;
     }
     if (kind != ListKind.CHANGES) {
-      dbs.values()
+      memberStates
+          .values()
           .forEach(
               db -> {
                 db.listed = false;
@@ -87,168 +93,179 @@
               });
     }
     for (Member m : members) {
-      learn(m);
+      updateMember(m);
     }
-    new ArrayList<>(dbs.values()).forEach(this::forget);
-    groups.values().forEach(this::pump);
+    new ArrayList<>(memberStates.values()).forEach(this::removeIfGone);
+    groups.values().forEach(this::dispatch);
   }
 
   @Override
   public void onRequest(double at, Request r) {
     now = at;
-    var w = new Work(r);
-    works.put(r.id(), w);
-    earn(w.group);
-    w.group.line.add(w);
-    after(w.end - now, () -> giveUp(w));
-    if (w.kind.repeat() == Repeat.SAFE
+    var w = new RoutedRequest(r);
+    requests.put(r.id(), w);
+    refillTokens(w.group);
+    w.group.queue.add(w);
+    schedule(w.deadline - now, () -> giveUp(w));
+    if (w.requestClass.repeat() == Repeat.SAFE
         && !w.primaryOnly()
-        && !stalls(w)
-        && (w.kind.lateValueShare() == 0 || HOLD * r.ttl() >= w.kind.targetLatency())) {
-      after(
-          HOLD * r.ttl(),
+        && !delaysReplay(w)
+        && (w.requestClass.lateValueShare() == 0
+            || UNSENT_READ_SHARE * r.ttl() >= w.requestClass.targetLatency())) {
+      schedule(
+          UNSENT_READ_SHARE * r.ttl(),
           () -> {
-            if (w.tries == 0) {
+            if (w.attemptCount == 0) {
               giveUp(w);
             }
           });
     }
     if (!ticking) {
       ticking = true;
-      after(TICK, this::tick);
+      schedule(TICK_MS, this::tick);
     }
-    pump(w.group);
+    dispatch(w.group);
   }
 
-  /** Sends what can be sent, in order of rank and aim. */
+  /**
+   * Sends every queued request that a member admits, in queue order, and gives up those that cannot
+   * finish.
+   */
   @Override
-  void pump(Group g) {
-    if (g == null || g.line.isEmpty()) {
+  void dispatch(Group g) {
+    if (g == null || g.queue.isEmpty()) {
       return;
     }
-    for (Work w : g.line.stream().limit(SCAN).toList()) {
-      if (w.done || now < w.notBefore) {
+    for (RoutedRequest w : g.queue.stream().limit(MAX_QUEUE_SCAN).toList()) {
+      if (w.done || now < w.retryAt) {
         continue;
       }
-      if (hopeless(w)) {
+      if (cannotFinish(w)) {
         giveUp(w);
         continue;
       }
-      Db db = choose(w);
+      MemberState db = chooseMember(w);
       if (db != null) {
         send(w, db);
       }
     }
   }
 
-  /** Too little time is left for a mean answer of the group's best member. */
-  boolean hopeless(Work w) {
+  /** Whether too little time is left for a mean answer of the group's fastest member. */
+  boolean cannotFinish(RoutedRequest w) {
     double best =
-        w.group.members.stream().filter(m -> m.usable).mapToDouble(m -> m.strain).min().orElse(0);
-    return w.out.isEmpty() && w.end - now < SLACK * best * w.kind.targetLatency();
+        w.group.members.stream()
+            .filter(m -> m.usable)
+            .mapToDouble(m -> m.latencyRatio)
+            .min()
+            .orElse(0);
+    return w.attempts.isEmpty()
+        && w.deadline - now < MIN_ANSWER_TIMES * best * w.requestClass.targetLatency();
   }
 
-  /** Every send passes here: the guards for the rules. */
-  boolean send(Work w, Db db) {
-    boolean again = w.mayHaveRun || !w.out.isEmpty();
+  /** Sends a request after checking every rule on attempts; no request is sent by another path. */
+  boolean send(RoutedRequest w, MemberState db) {
+    boolean again = w.mayHaveRun || !w.attempts.isEmpty();
     boolean wrongPlace = !db.usable || db.entry.group() != w.request.group();
-    boolean tooLate = w.done || w.tries >= settings.limits().maxAttempts() || now >= w.end;
+    boolean tooLate =
+        w.done || w.attemptCount >= settings.limits().maxAttempts() || now >= w.deadline;
     boolean copy =
-        !w.out.isEmpty()
-            && (!settings.limits().hedging() || w.out.stream().anyMatch(a -> a.db == db));
-    boolean stale = strict && w.rank > 0 && db.position < need(w) && !db.wasPrimary;
-    if (wrongPlace || tooLate || copy || stale || again && (!repeatable(w) || extra < 1)) {
+        !w.attempts.isEmpty()
+            && (!settings.limits().hedging() || w.attempts.stream().anyMatch(a -> a.db == db));
+    boolean stale =
+        answersStale && w.priority > 0 && db.position < minPosition(w) && !db.wasPrimary;
+    if (wrongPlace || tooLate || copy || stale || again && (!repeatable(w) || retryTokens < 1)) {
       return false;
     }
-    extra -= again ? 1 : 0;
+    retryTokens -= again ? 1 : 0;
     var a = new Attempt(w, db);
-    a.trial = db.silent || db.erring();
+    a.trial = db.silent || db.failing();
     if (a.trial) {
-      db.trialAt = now + db.trialGap;
-      db.trialGap = Math.min(WAIT_MOST * scale, db.trialGap * 1.5);
-    }
-    if (w.kind.freshness() == Freshness.WRITE && believed(w.group) != db) {
-      w.group.scout = a;
-    }
-    w.risk = again ? w.risk : now;
-    w.out.add(a);
-    db.out.add(a);
-    db.credit -= cold(db) ? 1 : 0;
-    w.group.line.remove(w);
-    actions.send(w.request.id(), db.id, w.kind.lateValueShare() > 0 ? 0 : w.end - now);
+      db.nextTrialAt = now + db.trialInterval;
+      db.trialInterval = Math.min(MAX_BACKOFF_MS * fleetScale, db.trialInterval * 1.5);
+    }
+    if (w.requestClass.freshness() == Freshness.WRITE && currentPrimary(w.group) != db) {
+      w.group.searchAttempt = a;
+    }
+    w.mayHaveRunSince = again ? w.mayHaveRunSince : now;
+    w.attempts.add(a);
+    db.attempts.add(a);
+    db.coldTokens -= isCold(db) ? 1 : 0;
+    w.group.queue.remove(w);
+    actions.send(w.request.id(), db.id, w.requestClass.lateValueShare() > 0 ? 0 : w.deadline - now);
     return true;
   }
 
-  /**
-   * Whether a request that may have run may be sent again: safe ones, and keyed ones while known.
-   */
-  boolean repeatable(Work w) {
-    return w.kind.repeat() == Repeat.SAFE
-        || w.kind.repeat() == Repeat.KEYED && now - w.risk < KEY_SHARE * w.kind.keyTtl();
+  /** Whether a request may be repeated: safe ones always, keyed ones while their key is known. */
+  boolean repeatable(RoutedRequest w) {
+    return w.requestClass.repeat() == Repeat.SAFE
+        || w.requestClass.repeat() == Repeat.KEYED
+            && now - w.mayHaveRunSince < KEY_TTL_SHARE * w.requestClass.keyTtl();
   }
 
   @Override
   public void onOutcome(double at, Outcome o) {
     now = at;
-    Work w = works.get(o.request());
-    Db db = dbs.get(o.member());
+    RoutedRequest w = requests.get(o.request());
+    MemberState db = memberStates.get(o.member());
     Attempt a =
         w == null
             ? null
-            : w.out.stream().filter(x -> x.number == o.number()).findFirst().orElse(null);
+            : w.attempts.stream().filter(x -> x.number == o.number()).findFirst().orElse(null);
     if (db == null || a == null) {
       return;
     }
-    w.out.remove(a);
-    db.out.remove(a);
-    if (w.group.scout == a) {
-      w.group.scout = null;
+    w.attempts.remove(a);
+    db.attempts.remove(a);
+    if (w.group.searchAttempt == a) {
+      w.group.searchAttempt = null;
     }
-    judge(db, a, o);
-    forget(db);
+    evaluate(db, a, o);
+    removeIfGone(db);
     if (!o.status().neverRan) {
       w.mayHaveRun = true;
-    } else if (!w.mayHaveRun && w.out.isEmpty()) {
-      w.risk = Double.POSITIVE_INFINITY;
+    } else if (!w.mayHaveRun && w.attempts.isEmpty()) {
+      w.mayHaveRunSince = Double.POSITIVE_INFINITY;
     }
     if (o.requestDone() || w.done) {
       finish(w);
     } else {
-      goOn(w, db, o.status());
+      retryOrGiveUp(w, db, o.status());
     }
-    pump(w.group);
+    dispatch(w.group);
   }
 
-  void goOn(Work w, Db db, Status status) {
-    if (w.kind.repeat() == Repeat.SAFE || status != Status.ERROR) {
-      w.avoid.add(db);
+  void retryOrGiveUp(RoutedRequest w, MemberState db, Status status) {
+    if (w.requestClass.repeat() == Repeat.SAFE || status != Status.ERROR) {
+      w.excluded.add(db);
     } else {
-      w.notBefore = now + TICK;
+      w.retryAt = now + TICK_MS;
     }
-    if (!w.out.isEmpty()) {
-      return; // another copy is still out
+    if (!w.attempts.isEmpty()) {
+      return; // another copy is still in flight
     }
-    if (now >= w.end
+    if (now >= w.deadline
         || w.mayHaveRun && !repeatable(w)
-        || w.tries >= settings.limits().maxAttempts()) {
+        || w.attemptCount >= settings.limits().maxAttempts()) {
       giveUp(w);
       return;
     }
-    if (w.avoid.size() >= w.group.members.size()) {
-      w.avoid.clear();
-      w.notBefore = now + TICK;
+    if (w.excluded.size() >= w.group.members.size()) {
+      w.excluded.clear();
+      w.retryAt = now + TICK_MS;
     }
-    w.group.line.add(w);
+    w.group.queue.add(w);
   }
 
-  void giveUp(Work w) {
+  void giveUp(RoutedRequest w) {
     if (w.done) {
       return;
     }
     boolean harmless =
-        w.kind.repeat() == Repeat.SAFE
-            || !w.mayHaveRun && w.out.isEmpty()
-            || w.kind.repeat() == Repeat.KEYED && w.kind.dedupScope() == DedupScope.ALL;
+        w.requestClass.repeat() == Repeat.SAFE
+            || !w.mayHaveRun && w.attempts.isEmpty()
+            || w.requestClass.repeat() == Repeat.KEYED
+                && w.requestClass.dedupScope() == DedupScope.ALL;
     finish(w);
     if (harmless) {
       actions.refuse(w.request.id(), settings.limits().maxRetryAfter());
@@ -257,110 +274,119 @@
     }
   }
 
-  /** The request is over; attempts still out are called off, and awaited for their news. */
-  void finish(Work w) {
+  /** Closes a request: cancels its attempts in flight, whose outcomes still count for members. */
+  void finish(RoutedRequest w) {
     if (!w.done) {
       w.done = true;
-      w.group.line.remove(w);
-      w.out.forEach(this::cancel);
+      w.group.queue.remove(w);
+      w.attempts.forEach(this::cancel);
     }
-    if (w.out.isEmpty()) {
-      works.remove(w.request.id());
+    if (w.attempts.isEmpty()) {
+      requests.remove(w.request.id());
     }
-    if (w.group.members.isEmpty() && w.group.line.isEmpty()) {
-      groups.remove(w.request.group(), w.group); // one that only a request has named
+    if (w.group.members.isEmpty() && w.group.queue.isEmpty()) {
+      groups.remove(w.request.group(), w.group); // a group that was created only by a request
     }
   }
 
   void cancel(Attempt a) {
     if (settings.limits().cancellation() && !a.cancelled) {
-      a.given = a.cancelled = true;
-      actions.cancel(a.work.request.id(), a.number);
+      a.abandoned = a.cancelled = true;
+      actions.cancel(a.request.request.id(), a.number);
     }
   }
 
   @Override
   public void onClientGone(double at, String request) {
     now = at;
-    Optional.ofNullable(works.get(request)).ifPresent(this::finish);
+    Optional.ofNullable(requests.get(request)).ifPresent(this::finish);
   }
 
   @Override
   public Set<String> avoided() {
-    return dbs.values().stream()
-        .filter(db -> db.listed && (!db.usable || db.silent || db.erring()))
+    return memberStates.values().stream()
+        .filter(db -> db.listed && (!db.usable || db.silent || db.failing()))
         .map(db -> db.id)
         .collect(Collectors.toSet());
   }
 
   void tick() {
-    for (Db db : dbs.values()) {
-      if (!db.out.isEmpty()) {
-        watchFor(db);
+    for (MemberState db : memberStates.values()) {
+      if (!db.attempts.isEmpty()) {
+        checkSilence(db);
       }
     }
-    groups.values().forEach(this::pump);
-    ticking = !works.isEmpty();
+    groups.values().forEach(this::dispatch);
+    ticking = !requests.isEmpty();
     if (ticking) {
-      after(TICK, this::tick);
+      schedule(TICK_MS, this::tick);
     }
   }
 
   @Override
   public void onStall(double at) {
     now = at;
-    awake = at;
+    stallEnd = at;
   }
 
-  /** How long nothing has come of an attempt while this process could hear it. */
-  double quiet(Attempt a) {
-    return now - Math.max(awake, Math.max(a.sent, a.db.heard));
+  /** Time since the member of an attempt was last heard, not counting process stalls. */
+  double silence(Attempt a) {
+    return now - Math.max(stallEnd, Math.max(a.sentAt, a.db.lastHeard));
   }
 
-  void watchFor(Db db) {
-    double owed = db.owed;
-    Attempt oldest = db.out.get(0);
-    boolean quiet = quiet(oldest) > SILENT_SHARE * oldest.work.kind.targetLatency();
-    for (Attempt a : new ArrayList<>(db.out)) {
-      double one = quiet(a) / Math.max(TICK, db.strain * a.work.kind.targetLatency());
+  void checkSilence(MemberState db) {
+    double owed = db.overdue;
+    Attempt oldest = db.attempts.get(0);
+    boolean quiet = silence(oldest) > SILENT_SHARE * oldest.request.requestClass.targetLatency();
+    for (Attempt a : new ArrayList<>(db.attempts)) {
+      double one =
+          silence(a) / Math.max(TICK_MS, db.latencyRatio * a.request.requestClass.targetLatency());
       owed += one;
-      if (a.trial && one > TRIAL_OWED) {
-        rescue(a, false);
+      if (a.trial && one > TRIAL_OVERDUE) {
+        retryElsewhere(a, false);
       }
     }
-    if (owed > (sparse || db.told > oldest.sent ? OWED_MOST : OWED) && quiet && !db.silent) {
-      fallSilent(db);
+    if (owed > (loadUnknown || db.lastPeerReport > oldest.sentAt ? MAX_OVERDUE : OVERDUE_LIMIT)
+        && quiet
+        && !db.silent) {
+      markSilent(db);
     }
   }
 
   /**
-   * Guards against a hang, a cut link, a vanished machine: only trials, and what is out moves on.
+   * Handles a hung database, a cut link or a vanished machine: the member gets trial requests only,
+   * and its attempts in flight are retried elsewhere.
    */
   @Override
-  void fallSilent(Db db) {
+  void markSilent(MemberState db) {
     if (!db.silent) {
       db.silent = true;
-      db.trialAt = now + db.trialGap;
+      db.nextTrialAt = now + db.trialInterval;
       probe(db);
     }
     Group g = groups.get(db.entry.group());
-    g.scout = g.scout != null && g.scout.db == db ? null : g.scout;
-    new ArrayList<>(db.out).forEach(a -> rescue(a, false));
+    g.searchAttempt = g.searchAttempt != null && g.searchAttempt.db == db ? null : g.searchAttempt;
+    new ArrayList<>(db.attempts).forEach(a -> retryElsewhere(a, false));
   }
 
   /**
-   * Sends work elsewhere, beside the first copy or in its place; the primary's only to a new one.
+   * Retries an attempt's request elsewhere, beside the first copy or in place of it; requests for
+   * the primary only where a new primary is known.
    */
   @Override
-  void rescue(Attempt a, boolean newPrimary) {
-    Work w = a.work;
-    if (w.done || a.given || w.primaryOnly() != newPrimary || w.out.size() > 1 || !repeatable(w)) {
+  void retryElsewhere(Attempt a, boolean newPrimary) {
+    RoutedRequest w = a.request;
+    if (w.done
+        || a.abandoned
+        || w.primaryOnly() != newPrimary
+        || w.attempts.size() > 1
+        || !repeatable(w)) {
       return;
     }
-    w.avoid.add(a.db);
+    w.excluded.add(a.db);
     if (settings.limits().hedging()) {
-      a.given = true;
-      w.group.line.add(w);
+      a.abandoned = true;
+      w.group.queue.add(w);
     } else {
       cancel(a);
     }
--- a/src/main/java/crankspar/policy/Known.java
+++ b/src/main/java/crankspar/policy/Known.java
@@ -13,232 +13,264 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** What one instance knows: members, groups, requests and what the clock is. It decides nothing. */
+/**
+ * State of one instance: members, groups, requests, timers and the current time. Makes no routing
+ * decision.
+ */
 abstract class Known implements Router {
   /**
-   * A replica unheard for this long (ms) is probed, or won back by a read that needs no position.
+   * A replica that has sent nothing for this long (ms) is probed, or tried again with a read that
+   * needs no position.
    */
-  static final double UNHEARD = 1000;
+  static final double UNHEARD_MS = 1000;
 
   /**
-   * Latency, as a share of the class's aim, above which a member's bound on own requests shrinks.
+   * Mean latency, as a share of the class's target latency, above which the in-flight limit of a
+   * member is reduced.
    */
-  static final double STRAIN = 0.3;
+  static final double OVERLOAD_RATIO = 0.3;
 
-  /** A member's requests in flight from all instances: at first, and at least (its cores). */
-  static final double FIRST_LIMIT = 8;
+  /**
+   * Initial limit on a member's requests in flight from all instances; {@link #MIN_LIMIT} is the
+   * minimum (its cores).
+   */
+  static final double INITIAL_LIMIT = 8;
 
-  static final double LEAST = 6;
+  static final double MIN_LIMIT = 6;
 
-  /** Wait before the first trial of a silent or erring member (ms), doubled to WAIT_MOST. */
-  static final double TRIAL_FIRST = 200;
+  /**
+   * Delay (ms) before the first trial request to a silent or failing member; the delay grows with
+   * each trial up to {@link #MAX_BACKOFF_MS}.
+   */
+  static final double INITIAL_TRIAL_MS = 200;
 
-  static final double WAIT_MOST = 1000; // any doubled wait (ms)
+  static final double MAX_BACKOFF_MS = 1000; // upper bound of every exponential backoff (ms)
 
-  /** A member that fails this share of its requests gets no reads but trials. */
-  static final double ERRING = 0.4;
+  /** A member whose error rate is above this share gets trial reads only. */
+  static final double MAX_ERROR_RATE = 0.4;
 
   /**
-   * First wait after a full round of misses in search of a primary, or after being turned away
-   * (ms).
+   * Initial backoff (ms) after a full round of misses in the search for a primary, or after a
+   * member rejected a request as full.
    */
-  static final double PAUSE = 50;
+  static final double INITIAL_BACKOFF_MS = 50;
 
-  static final double EXTRA_MOST = 10; // of what is saved up
+  static final double MAX_TOKENS = 10; // capacity of the retry and probe token buckets
 
   /**
-   * Discovery is asked again after the first wait (ms), doubled to a quarter of the time it may be
-   * unasked and to the second at most: what it had counts as told 6 s after it could be reached.
+   * Discovery is queried again after the initial delay (ms), which doubles up to a quarter of the
+   * permitted gap between queries and to {@link #MAX_WATCH_RETRY_MS} at most: its data counts as
+   * known to this instance 6 s after discovery became reachable.
    */
-  static final double ASK_FIRST = 500, ASK_MOST = 1200;
+  static final double INITIAL_WATCH_RETRY_MS = 500, MAX_WATCH_RETRY_MS = 1200;
 
-  /** One database as this instance sees it. */
-  static final class Db {
+  /** One database as this instance sees it; all times are in ms on the proxy's clock. */
+  static final class MemberState {
     final String id;
     Member entry;
-    boolean listed; // by discovery's last word on it
-    boolean usable; // may be sent to: neither draining nor, where that binds, gone
-    boolean drained; // listed as draining, and not as running since
-    Role role = Role.UNKNOWN; // by the newest note
+    boolean listed; // by the latest list from discovery
+    boolean
+        usable; // may get requests: not draining, and not removed unless removals are not binding
+    boolean drained; // listed as draining, and not listed as running since then
+    Role role = Role.UNKNOWN; // from the newest report
     double roleAt = Double.NEGATIVE_INFINITY;
-    boolean wasPrimary; // by a note or list, and no note since has said otherwise
+    boolean wasPrimary; // by a report or the list, with no later report to the contrary
     double position = Double.NEGATIVE_INFINITY;
-    double heard = Double.NEGATIVE_INFINITY;
-    int others; // peers' requests in flight, as told
-    double told = Double.NEGATIVE_INFINITY; // when a peer last told something new of it
-    double pace = 1; // log ms applied a ms
-    double probed = Double.NEGATIVE_INFINITY;
-    final List<Attempt> out = new ArrayList<>();
+    double lastHeard = Double.NEGATIVE_INFINITY;
+    int peerInFlight; // peers' requests in flight, as they reported them
+    double lastPeerReport =
+        Double.NEGATIVE_INFINITY; // when a peer last sent newer data about this member
+    double replayRate = 1; // replayed log time (ms) per ms
+    double lastProbed = Double.NEGATIVE_INFINITY;
+    final List<Attempt> attempts = new ArrayList<>();
     double limit;
-    double cutAt = Double.NEGATIVE_INFINITY;
-    double strain = STRAIN / 2; // mean latency as a share of the aim
-    double measured, errors;
+    double limitCutAt = Double.NEGATIVE_INFINITY;
+    double latencyRatio = OVERLOAD_RATIO / 2; // mean latency as a share of the target latency
+    double lastMeasured, errorRate;
     boolean silent;
-    double shutUntil; // it turned one of ours away unseen: a pause, doubled each time
-    double shutGap = PAUSE;
-    double share = 1; // sparse: share of ours taken; a primary spares half for spills
-    double owed; // means owed by attempts that ended without an answer
-    int strikes; // connections broken or failed since the last answer
-    boolean lost; // an outage seen first-hand: it may come back cold
+    double
+        backoffUntil; // the member rejected a request as full without running it: backoff, doubled
+    // each time
+    double backoff = INITIAL_BACKOFF_MS;
+    double share =
+        1; // with unknown load: share of own requests that is admitted; a primary keeps half for
+    // spilled reads
+    double overdue; // mean answer times that passed on attempts that ended without an answer
+    int connectionFailures; // connections reset or failed since the last answer
+    boolean lost; // this instance saw an outage: the member may come back cold
     double coldSince = Double.NEGATIVE_INFINITY;
-    double startTold = Double.NEGATIVE_INFINITY;
-    double trialAt, trialGap;
-    double credit; // sends that a cold member may have, earned by arrivals
-    final PriorityQueue<Double> ghosts =
-        new PriorityQueue<>(); // until when abandoned work may yet run
+    double reportedStart = Double.NEGATIVE_INFINITY;
+    double nextTrialAt, trialInterval;
+    double coldTokens; // tokens for sends to a cold member, earned by arriving requests
+    final PriorityQueue<Double> abandonedUntil =
+        new PriorityQueue<>(); // until when each abandoned request may still be running
 
-    Db(String id) {
+    MemberState(String id) {
       this.id = id;
     }
 
-    boolean erring() {
-      return errors > ERRING;
+    boolean failing() {
+      return errorRate > MAX_ERROR_RATE;
     }
 
     int inFlight() {
-      return out.size() + others;
+      return attempts.size() + peerInFlight;
     }
 
-    double seen() {
-      return Math.max(heard, told);
+    double lastSeen() {
+      return Math.max(lastHeard, lastPeerReport);
     }
   }
 
-  /** One group: its members in id order and who is held to be primary. */
+  /** One group: its members in id order, its queue and the member taken for primary. */
   static final class Group {
-    final List<Db> members = new ArrayList<>();
+    final List<MemberState> members = new ArrayList<>();
 
     /**
-     * Writes first, then the newest first: under a standing surge some are served well, not all
-     * late.
+     * Writes first, then newest first: under sustained overload some requests are served in time,
+     * where oldest first would serve all of them late.
      */
-    final TreeSet<Work> line =
-        new TreeSet<>(Comparator.comparingInt((Work w) -> w.rank).thenComparingLong(w -> -w.order));
+    final TreeSet<RoutedRequest> queue =
+        new TreeSet<>(
+            Comparator.comparingInt((RoutedRequest w) -> w.priority)
+                .thenComparingLong(w -> -w.order));
 
-    Db primary;
+    MemberState primary;
     double primaryAt = Double.NEGATIVE_INFINITY;
-    int next, asked, unanswered;
-    double roundAt, roundGap = PAUSE;
-    Attempt scout;
-    Db positionOf; // the replica that is asked for its position, for reads that wait
-    double positionSince;
-    double ahead; // of our clock, which takes no step: the most that a position was
+    int searchIndex, searchMisses, timeouts;
+    double searchResumeAt, searchBackoff = INITIAL_BACKOFF_MS;
+    Attempt searchAttempt;
+    MemberState positionProbe; // the replica being probed for its position, for reads that wait
+    double positionProbeAt;
+    double clockAhead; // the most that a position was ahead of the proxy's clock, which never steps
   }
 
   final class Attempt {
-    final Work work;
-    final Db db;
+    final RoutedRequest request;
+    final MemberState db;
     final int number;
-    final double sent = now;
-    boolean trial, given, cancelled; // given up: doubled or cancelled
+    final double sentAt = now;
+    boolean trial,
+        abandoned,
+        cancelled; // abandoned: a second copy was allowed, or it was cancelled
 
-    Attempt(Work work, Db db) {
-      this.work = work;
+    Attempt(RoutedRequest work, MemberState db) {
+      this.request = work;
       this.db = db;
-      number = work.tries++;
+      number = work.attemptCount++;
     }
   }
 
-  /** A request that this instance owes an answer. */
-  final class Work {
+  /** A request that has no final answer yet, or attempts whose outcomes are still due. */
+  final class RoutedRequest {
     final Request request;
-    final RequestClass kind;
+    final RequestClass requestClass;
     final Group group;
     final long order = counter++;
-    final double luck = random.nextDouble(); // below a member's share: it may have this one
-    final int rank;
-    final double end; // no answer is of use after the end
-    final double need; // the position a read must see
-    int tries;
-    final List<Attempt> out = new ArrayList<>();
-    final HashSet<Db> avoid = new HashSet<>();
+    final double admissionDraw =
+        random.nextDouble(); // the request is admitted where this is below the member's share
+    final int priority;
+    final double deadline; // no answer is useful after this time
+    final double minPosition; // the position that a read must see
+    int attemptCount;
+    final List<Attempt> attempts = new ArrayList<>();
+    final HashSet<MemberState> excluded = new HashSet<>();
     boolean mayHaveRun;
-    double risk = Double.POSITIVE_INFINITY; // when the first attempt was sent that may have run
-    double notBefore;
-    double askUntil; // it may wait for a replica's position until then
+    double mayHaveRunSince =
+        Double.POSITIVE_INFINITY; // send time of the first attempt that may have run
+    double retryAt;
+    double positionWaitUntil; // it may wait for a replica's position until this time
     boolean done;
 
-    Work(Request request) {
+    RoutedRequest(Request request) {
       this.request = request;
-      kind = settings.classes().get(request.requestClass());
+      requestClass = settings.classes().get(request.requestClass());
       group = groups.computeIfAbsent(request.group(), k -> new Group());
-      need = needAtStart(request, kind);
-      rank = kind.freshness() == Freshness.WRITE ? 0 : 1;
-      end =
+      minPosition = initialMinPosition(request, requestClass);
+      priority = requestClass.freshness() == Freshness.WRITE ? 0 : 1;
+      deadline =
           now
               - settings.batchInterval()
-              + (kind.lateValueShare() > 0
+              + (requestClass.lateValueShare() > 0
                   ? request.ttl()
-                  : Math.min(kind.targetLatency(), request.ttl()));
+                  : Math.min(requestClass.targetLatency(), request.ttl()));
     }
 
     boolean primaryOnly() {
-      return kind.freshness() == Freshness.WRITE || kind.freshness() == Freshness.FRESH;
+      return requestClass.freshness() == Freshness.WRITE
+          || requestClass.freshness() == Freshness.FRESH;
     }
   }
 
   final Settings settings;
   final Actions actions;
   final Random random;
-  double least; // known requests in flight that a member always may have
-  boolean sparse; // too many for own requests to tell load, and none told
-  final boolean many; // too many for all to try at once
-  final double scale; // times as long pauses keep all instances' trials as rare
-  final double tightest; // the smallest bound on a read's age (ms)
-  final boolean strict; // replicas answer stale reads: the gate alone keeps the rule
-  final TreeMap<String, Db> dbs = new TreeMap<>();
+  double minLimit; // lower bound of a member's limit on known requests in flight
+  boolean loadUnknown; // too many instances to infer load from own requests, and peers report none
+  final boolean largeFleet; // too many instances to send trials at the same time
+  final double
+      fleetScale; // delays are multiplied by this, so that trials of all instances together stay as
+  // rare
+  final double tightestBound; // the smallest staleness bound of a read (ms)
+  final boolean
+      answersStale; // replicas answer stale reads: only the position check here keeps the freshness
+  // guarantee
+  final TreeMap<String, MemberState> memberStates = new TreeMap<>();
   final TreeMap<Integer, Group> groups = new TreeMap<>();
-  final Map<String, Work> works = new HashMap<>();
-  final LinkedHashMap<String, Double> marks = new LinkedHashMap<>();
-  double forgotten = Double.NEGATIVE_INFINITY;
+  final Map<String, RoutedRequest> requests = new HashMap<>();
+  final LinkedHashMap<String, Double> sessionMarks = new LinkedHashMap<>();
+  double newestEvictedMark = Double.NEGATIVE_INFINITY;
   final Map<Long, Runnable> timers = new HashMap<>();
-  Map<String, Double> lows = new HashMap<>(), lowsBefore = new HashMap<>();
+  Map<String, Double> minLatencies = new HashMap<>(), previousMinLatencies = new HashMap<>();
   List<String> zoneOrder;
   int period;
   long counter;
   double now;
-  double extra = EXTRA_MOST, probes = EXTRA_MOST; // second sends and probes that are saved up
-  double neededProbes = EXTRA_MOST; // probes that reads may still wait for
-  double awake = Double.NEGATIVE_INFINITY; // end of the last stall: silence before says nothing
+  double retryTokens = MAX_TOKENS,
+      probeTokens = MAX_TOKENS; // saved tokens for repeated sends and for probes
+  double positionProbeTokens = MAX_TOKENS; // tokens for probes that reads wait for
+  double stallEnd =
+      Double.NEGATIVE_INFINITY; // end of the last process stall: silence before it is no evidence
   boolean ticking;
-  double askGap = ASK_FIRST;
+  double watchRetryDelay = INITIAL_WATCH_RETRY_MS;
 
   Known(Settings settings, Actions actions) {
     this.settings = settings;
     this.actions = actions;
     random = new Random(settings.seed());
-    strict = settings.laggingRead() == LaggingRead.ANSWERS;
-    tightest =
+    answersStale = settings.laggingRead() == LaggingRead.ANSWERS;
+    tightestBound =
         settings.classes().stream()
             .filter(c -> c.freshness() == Freshness.BOUNDED)
             .mapToDouble(RequestClass::stalenessBound)
             .min()
-            .orElse(UNHEARD);
-    many = sparse = settings.instanceCount() > LEAST;
-    least = Math.max(1, LEAST / settings.instanceCount());
-    scale = Math.max(1, settings.instanceCount() / LEAST);
+            .orElse(UNHEARD_MS);
+    largeFleet = loadUnknown = settings.instanceCount() > MIN_LIMIT;
+    minLimit = Math.max(1, MIN_LIMIT / settings.instanceCount());
+    fleetScale = Math.max(1, settings.instanceCount() / MIN_LIMIT);
     zoneOrder = new ArrayList<>(settings.zones());
   }
 
-  void after(double delay, Runnable what) {
+  void schedule(double delay, Runnable task) {
     long cookie = counter++;
-    timers.put(cookie, what);
+    timers.put(cookie, task);
     actions.setTimer(Math.max(0, delay), cookie);
   }
 
-  abstract double needAtStart(Request r, RequestClass kind); // the position that a read must see
+  abstract double initialMinPosition(
+      Request r, RequestClass kind); // the position that a read must see
 
-  void learn(Member m) {
-    Db db = dbs.get(m.id());
+  void updateMember(Member m) {
+    MemberState db = memberStates.get(m.id());
     if (db == null && m.health() == Health.GONE) {
       return;
     }
     if (db == null) {
-      db = new Db(m.id());
-      db.limit = firstLimit();
-      db.credit = random.nextDouble();
-      db.trialGap = TRIAL_FIRST * scale;
-      dbs.put(m.id(), db);
+      db = new MemberState(m.id());
+      db.limit = initialLimit();
+      db.coldTokens = random.nextDouble();
+      db.trialInterval = INITIAL_TRIAL_MS * fleetScale;
+      memberStates.put(m.id(), db);
     } else if (db.entry.group() != m.group()) {
       groups.get(db.entry.group()).members.remove(db);
     }
@@ -246,11 +278,13 @@
     db.drained = m.health() == Health.DRAINING || db.drained && m.health() == Health.GONE;
     db.listed = m.health() != Health.GONE;
     db.usable = m.health() == Health.RUNNING || settings.guarantees().softRemoval() && !db.drained;
-    if (m.lastStart() > Math.max(db.startTold, Math.max(0, db.coldSince))) {
-      db.startTold = m.lastStart(); // by the wall clock, which may have stepped ahead of ours
+    if (m.lastStart() > Math.max(db.reportedStart, Math.max(0, db.coldSince))) {
+      db.reportedStart =
+          m.lastStart(); // by the wall clock, which may have stepped ahead of the proxy's
       db.coldSince = Math.min(m.lastStart(), now);
-      db.credit =
-          random.nextDouble(); // all instances hear of it at once, and are not to send at once
+      db.coldTokens =
+          random.nextDouble(); // all instances learn of the start together; random initial tokens
+      // keep them from sending together
     }
     Group g = groups.computeIfAbsent(m.group(), k -> new Group());
     if (!g.members.contains(db)) {
@@ -263,23 +297,25 @@
   }
 
   /**
-   * A member that left for good counts no more: else a day of replacements would leave the new ones
-   * an ever smaller share of its group's arrivals, and tables that only grow.
+   * Removes a member that left for good. Without this, a day of replacements would give new members
+   * an ever smaller share of their group's arrivals, and the tables would only grow.
    */
-  void forget(Db db) {
-    if (db.listed || db.usable || !db.out.isEmpty()) {
+  void removeIfGone(MemberState db) {
+    if (db.listed || db.usable || !db.attempts.isEmpty()) {
       return;
     }
     Group g = groups.get(db.entry.group());
-    dbs.remove(db.id);
+    memberStates.remove(db.id);
     g.members.remove(db);
     g.primary = g.primary == db ? null : g.primary;
-    if (g.members.isEmpty() && g.line.isEmpty()) {
+    if (g.members.isEmpty() && g.queue.isEmpty()) {
       groups.remove(db.entry.group());
     }
   }
 
-  double firstLimit() {
-    return Math.max(least, sparse || !many ? FIRST_LIMIT / settings.instanceCount() : FIRST_LIMIT);
+  double initialLimit() {
+    return Math.max(
+        minLimit,
+        loadUnknown || !largeFleet ? INITIAL_LIMIT / settings.instanceCount() : INITIAL_LIMIT);
   }
 }
--- a/src/main/java/crankspar/policy/Outcomes.java
+++ b/src/main/java/crankspar/policy/Outcomes.java
@@ -1,71 +1,79 @@
 package crankspar.policy;
 
-/** What the outcome of an attempt says of its member: health, load, position and role. */
+/** Updates a member's health, load, position and role from the outcomes of attempts. */
 abstract class Outcomes extends Reads {
   /**
-   * Broken or failed connections in a row that make a member lost: one says more of a connection.
+   * Consecutive reset or failed connections after which a member counts as lost; a single one is
+   * more likely a fault of that connection.
    */
-  static final int STRIKES = 3;
+  static final int MAX_CONNECTION_FAILURES = 3;
 
-  /** Second sends of work that may have run: this many for each answer, saved up to EXTRA_MOST. */
-  static final double EXTRA = 0.1;
+  /**
+   * Retry tokens earned per successful answer, for repeats of requests that may have run; saved up
+   * to {@link #MAX_TOKENS}.
+   */
+  static final double RETRY_RATIO = 0.1;
 
   Outcomes(Settings settings, Actions actions) {
     super(settings, actions);
   }
 
-  abstract void fallSilent(Db db);
+  abstract void markSilent(MemberState db);
 
-  /** What an outcome says of its member. */
-  void judge(Db db, Attempt a, Outcome o) {
-    RequestClass kind = a.work.kind;
+  /** Updates the member's state from the outcome of one attempt. */
+  void evaluate(MemberState db, Attempt a, Outcome o) {
+    RequestClass kind = a.request.requestClass;
     if (isAnswer(o.status())) {
-      heard(db, a, o);
+      recordAnswer(db, a, o);
     }
     if (o.status() == Status.TIMEOUT || o.status() == Status.CANCELLED) {
-      unanswered(db, kind, o);
+      recordNoAnswer(db, kind, o);
     }
     switch (o.status()) {
       case OK -> {
-        extra = Math.min(EXTRA_MOST, extra + EXTRA);
-        db.shutGap = PAUSE;
-        a.work.group.unanswered = 0;
-        db.errors *= 1 - weight(db);
-        db.trialGap = db.erring() ? db.trialGap : TRIAL_FIRST * scale;
-        measure(db, o.elapsed(), kind.targetLatency());
+        retryTokens = Math.min(MAX_TOKENS, retryTokens + RETRY_RATIO);
+        db.backoff = INITIAL_BACKOFF_MS;
+        a.request.group.timeouts = 0;
+        db.errorRate *= 1 - sampleWeight(db);
+        db.trialInterval = db.failing() ? db.trialInterval : INITIAL_TRIAL_MS * fleetScale;
+        recordLatency(db, o.elapsed(), kind.targetLatency());
       }
       case ERROR -> {
-        db.errors += Math.max(2 * FRESH_WEIGHT, weight(db)) * (1 - db.errors);
-        db.measured = now;
+        db.errorRate += Math.max(2 * MIN_SAMPLE_WEIGHT, sampleWeight(db)) * (1 - db.errorRate);
+        db.lastMeasured = now;
       }
-      case RESET -> { // this says more of a connection than of its member
-        db.strikes++;
-        db.errors += FRESH_WEIGHT / 2 * (1 - db.errors);
+      case RESET -> { // more likely a fault of the connection than of its member
+        db.connectionFailures++;
+        db.errorRate += MIN_SAMPLE_WEIGHT / 2 * (1 - db.errorRate);
       }
       case FULL -> {
-        cut(db);
-        lower(db, a.work.group);
-        db.shutUntil = now + db.shutGap * (0.5 + random.nextDouble());
-        db.shutGap = Math.min(WAIT_MOST * scale, 2 * db.shutGap);
+        reduceLimit(db);
+        reduceShare(db, a.request.group);
+        db.backoffUntil = now + db.backoff * (0.5 + random.nextDouble());
+        db.backoff = Math.min(MAX_BACKOFF_MS * fleetScale, 2 * db.backoff);
       }
       case TIMEOUT, CANCELLED -> {
         if (o.status() == Status.TIMEOUT) {
-          lower(db, a.work.group);
+          reduceShare(db, a.request.group);
         }
-        if (o.elapsed() > db.strain * kind.targetLatency()) {
-          measure(
-              db, o.elapsed(), kind.targetLatency()); // at least: it would have come later still
+        if (o.elapsed() > db.latencyRatio * kind.targetLatency()) {
+          recordLatency(
+              db,
+              o.elapsed(),
+              kind.targetLatency()); // a lower bound: the answer would have come later still
         }
       }
       case CONNECT_FAILED -> {
-        if (++db.strikes >= STRIKES || !sparse && now - db.seen() > UNHEARD) {
+        if (++db.connectionFailures >= MAX_CONNECTION_FAILURES
+            || !loadUnknown && now - db.lastSeen() > UNHEARD_MS) {
           db.lost = true;
-          fallSilent(db);
+          markSilent(db);
         } else {
-          db.shutUntil = Math.max(db.shutUntil, now + PAUSE * (0.5 + random.nextDouble()));
+          db.backoffUntil =
+              Math.max(db.backoffUntil, now + INITIAL_BACKOFF_MS * (0.5 + random.nextDouble()));
         }
       }
-      case MISS -> searchOn(a.work, db);
+      case MISS -> continueSearch(a.request, db);
       default -> {}
     }
   }
@@ -77,30 +85,36 @@
         || status == Status.ERROR;
   }
 
-  private void heard(Db db, Attempt a, Outcome o) {
-    boolean committed = o.status() == Status.OK && a.work.kind.freshness() == Freshness.WRITE;
+  private void recordAnswer(MemberState db, Attempt a, Outcome o) {
+    boolean committed =
+        o.status() == Status.OK && a.request.requestClass.freshness() == Freshness.WRITE;
     notePosition(db, committed ? o.position() - 1 : o.position(), now);
     noteRole(db, o.role(), now);
     noteLatency(db, o.elapsed());
-    back(db);
-    db.strikes = 0;
-    db.heard = now;
-    if (o.status() != Status.FULL) { // what is turned away unseen proves nothing
+    markAlive(db);
+    db.connectionFailures = 0;
+    db.lastHeard = now;
+    if (o.status() != Status.FULL) { // a rejection without execution is no proof of health
       db.silent = false;
-      db.owed = 0;
+      db.overdue = 0;
     }
     if (committed) {
-      remember(a.work.request.session(), o.position());
+      rememberCommit(a.request.request.session(), o.position());
     }
   }
 
-  private void unanswered(Db db, RequestClass kind, Outcome o) {
-    if (!sparse) {
-      db.ghosts.add(
-          now + db.strain * kind.targetLatency()); // it may run on, and crowd what comes after it
+  private void recordNoAnswer(MemberState db, RequestClass kind, Outcome o) {
+    if (!loadUnknown) {
+      db.abandonedUntil.add(
+          now
+              + db.latencyRatio
+                  * kind.targetLatency()); // it may still run and compete with later requests
     }
-    if (now - db.heard > o.elapsed()) {
-      db.owed += Math.min(OWED / 2, o.elapsed() / Math.max(TICK, db.strain * kind.targetLatency()));
+    if (now - db.lastHeard > o.elapsed()) {
+      db.overdue +=
+          Math.min(
+              OVERDUE_LIMIT / 2,
+              o.elapsed() / Math.max(TICK_MS, db.latencyRatio * kind.targetLatency()));
     }
   }
 }
--- a/src/main/java/crankspar/policy/Positions.java
+++ b/src/main/java/crankspar/policy/Positions.java
@@ -4,135 +4,157 @@
 import java.util.Comparator;
 
 /**
- * Which replica is known to be fresh enough for a read, and how that is found out. Where one
- * instance of many sees too little traffic to know any replica's position, a read asks one for it,
- * and waits for the answer.
+ * Decides which replica is known to be fresh enough for a read. Where one instance of many sees too
+ * little traffic to know any replica's position, a read probes one and waits for the answer.
  */
 abstract class Positions extends Primary {
-  /** A member unheard for this long (ms) is probed where only its zone's distance is wanted. */
-  static final double UNHEARD_FAR = 5000;
+  /**
+   * A member that has sent nothing for this long (ms) is probed where only the latency of its zone
+   * is needed.
+   */
+  static final double UNHEARD_ZONE_MS = 5000;
 
-  /** Share of its aim that a read waits for a replica to tell its position. */
-  static final double ASK_SHARE = 0.3;
+  /** Share of its target latency that a read waits for a replica to report its position. */
+  static final double POSITION_WAIT_SHARE = 0.3;
 
-  /** A replica is asked again for its position after so long (ms). */
-  static final double ASK_AGAIN = 100;
+  /** Minimum interval (ms) between two position probes of one replica. */
+  static final double REPROBE_MS = 100;
 
   Positions(Settings settings, Actions actions) {
     super(settings, actions);
   }
 
-  abstract void pump(Group g); // sends what can be sent
+  abstract void dispatch(Group g); // sends every queued request that may be sent now
 
-  void notePosition(Db db, double position, double at) {
+  void notePosition(MemberState db, double position, double at) {
     if (Double.isNaN(position)) {
       return;
     }
-    if (db.position > Double.NEGATIVE_INFINITY && at > db.heard && position >= db.position) {
-      double pace = Math.min(1, (position - db.position) / (at - db.heard));
-      db.pace += FRESH_WEIGHT * (pace - db.pace);
+    if (db.position > Double.NEGATIVE_INFINITY && at > db.lastHeard && position >= db.position) {
+      double pace = Math.min(1, (position - db.position) / (at - db.lastHeard));
+      db.replayRate += MIN_SAMPLE_WEIGHT * (pace - db.replayRate);
     }
-    reached(db, position);
+    updatePosition(db, position);
   }
 
   /**
-   * A position is a time of the wall clock, which may have stepped since this process started: none
-   * can be later than now. Bounds are held against the databases' clock, which is ahead by that
-   * much at least.
+   * Records a position and how far it is ahead of the proxy's clock. Positions are wall-clock
+   * times, and the wall clock may have stepped since this process started; since no real position
+   * lies in the future, the databases' clock is ahead by at least that much, and staleness bounds
+   * are checked against it.
    */
-  void reached(Db db, double position) {
+  void updatePosition(MemberState db, double position) {
     Group g = groups.get(db.entry.group());
-    g.ahead = Math.max(g.ahead, position - now);
+    g.clockAhead = Math.max(g.clockAhead, position - now);
     db.position = Math.max(db.position, position);
   }
 
-  /** What was told before may be by another clock, and would look fresher than it is. */
+  /**
+   * Discards all positions: those reported before may be by another clock and would look fresher
+   * than they are.
+   */
   @Override
   public void onDatabaseClock(double at, double ahead) {
     now = at;
-    dbs.values().forEach(db -> db.position = Double.NEGATIVE_INFINITY);
-    groups.values().forEach(g -> g.ahead = 0);
+    memberStates.values().forEach(db -> db.position = Double.NEGATIVE_INFINITY);
+    groups.values().forEach(g -> g.clockAhead = 0);
   }
 
   /**
-   * The gate. Bounds age with the clock, session marks do not. Where replicas check reads, a
-   * position may be thought on at the pace seen: a wrong guess is a miss.
+   * Whether a replica is fresh enough for a read. A staleness bound moves with the clock, a session
+   * mark does not. Where replicas check reads themselves, the position is extrapolated at the
+   * observed replay rate: a wrong estimate costs one miss.
    */
-  boolean passes(Db db, Work w) {
-    double need = need(w);
-    double thoughtOn = strict ? 0 : db.pace * Math.max(0, now - db.heard);
+  boolean freshEnough(MemberState db, RoutedRequest w) {
+    double need = minPosition(w);
+    double estimatedReplay = answersStale ? 0 : db.replayRate * Math.max(0, now - db.lastHeard);
     return need == Double.NEGATIVE_INFINITY
-        || db.position + thoughtOn >= need
-        || !strict && w.kind.freshness() == Freshness.BOUNDED && now - db.heard > UNHEARD;
+        || db.position + estimatedReplay >= need
+        || !answersStale
+            && w.requestClass.freshness() == Freshness.BOUNDED
+            && now - db.lastHeard > UNHEARD_MS;
   }
 
-  double need(Work w) {
-    boolean bounded = w.kind.freshness() == Freshness.BOUNDED;
-    return bounded ? Math.max(now + w.group.ahead - w.kind.stalenessBound(), w.need) : w.need;
+  double minPosition(RoutedRequest w) {
+    boolean bounded = w.requestClass.freshness() == Freshness.BOUNDED;
+    return bounded
+        ? Math.max(now + w.group.clockAhead - w.requestClass.stalenessBound(), w.minPosition)
+        : w.minPosition;
   }
 
   /**
-   * Members long unheard are probed, oldest first: for the zone's distance, sooner for their
-   * position.
+   * Probes members that have sent nothing for a long time, least recently probed first: for the
+   * latency of their zone, and sooner where probes report positions.
    */
   void probeUnheard() {
     double quiet =
-        settings.reports() == Reports.IN_PROBES && !asksForPositions() ? UNHEARD : UNHEARD_FAR;
-    dbs.values().stream()
-        .filter(db -> now - Math.max(db.heard, db.probed) > quiet)
-        .sorted(Comparator.comparingDouble(db -> db.probed))
+        settings.reports() == Reports.IN_PROBES && !probesForPositions()
+            ? UNHEARD_MS
+            : UNHEARD_ZONE_MS;
+    memberStates.values().stream()
+        .filter(db -> now - Math.max(db.lastHeard, db.lastProbed) > quiet)
+        .sorted(Comparator.comparingDouble(db -> db.lastProbed))
         .toList()
         .forEach(this::probe);
   }
 
   /**
-   * Own answers are too rare to tell positions, nobody else tells them, and a read may not go
-   * without.
+   * Whether reads probe for positions: own answers are too rare to show them, no peer reports them,
+   * and replicas would answer stale reads.
    */
-  boolean asksForPositions() {
-    return sparse && strict && settings.limits().probes() && settings.reports() != Reports.NONE;
+  boolean probesForPositions() {
+    return loadUnknown
+        && answersStale
+        && settings.limits().probes()
+        && settings.reports() != Reports.NONE;
   }
 
   /**
-   * Whether a read that no known replica may answer waits for one to tell its position. Guards
-   * against a primary that has to serve all reads of its group: no replica is behind, none is known
-   * not to be.
+   * Whether a read that no replica is known to be fresh enough for waits for a position probe.
+   * Otherwise the primary would serve all reads of its group although no replica is behind, only
+   * because none is known to be current.
    */
-  boolean awaitsPosition(Work w) {
-    if (!asksForPositions() || need(w) == Double.NEGATIVE_INFINITY) {
+  boolean awaitsPosition(RoutedRequest w) {
+    if (!probesForPositions() || minPosition(w) == Double.NEGATIVE_INFINITY) {
       return false;
     }
-    w.askUntil = w.askUntil == 0 ? now + ASK_SHARE * w.kind.targetLatency() : w.askUntil;
-    if (now >= w.askUntil) {
+    w.positionWaitUntil =
+        w.positionWaitUntil == 0
+            ? now + POSITION_WAIT_SHARE * w.requestClass.targetLatency()
+            : w.positionWaitUntil;
+    if (now >= w.positionWaitUntil) {
       return false;
     }
     Group g = w.group;
-    if (g.positionOf == null || now - g.positionSince > UNHEARD) {
-      ask(g, unheard(w));
+    if (g.positionProbe == null || now - g.positionProbeAt > UNHEARD_MS) {
+      probePosition(g, probeCandidate(w));
     }
-    return g.positionOf != null;
+    return g.positionProbe != null;
   }
 
   /**
-   * One of a group at a time is asked, none where {@code db} is null; all its reads share the
-   * answer.
+   * Probes one replica of a group at a time, none where {@code db} is null; all waiting reads of
+   * the group share the answer.
    */
-  private void ask(Group g, Db db) {
-    g.positionOf = neededProbes >= 1 ? db : null;
-    if (g.positionOf != null) {
-      neededProbes--;
-      g.positionSince = now;
-      db.probed = now;
+  private void probePosition(Group g, MemberState db) {
+    g.positionProbe = positionProbeTokens >= 1 ? db : null;
+    if (g.positionProbe != null) {
+      positionProbeTokens--;
+      g.positionProbeAt = now;
+      db.lastProbed = now;
       actions.probe(db.id);
     }
   }
 
-  /** A near replica that was not asked a moment ago and may have this read, by chance; or null. */
-  private Db unheard(Work w) {
-    var near = new ArrayList<Db>();
+  /**
+   * A random replica of the nearest zones that was not probed recently and may take this read, or
+   * null.
+   */
+  private MemberState probeCandidate(RoutedRequest w) {
+    var near = new ArrayList<MemberState>();
     for (String zone : zoneOrder) {
-      for (Db db : w.group.members) {
-        if (db.entry.zone().equals(zone) && mayBeAsked(db, w)) {
+      for (MemberState db : w.group.members) {
+        if (db.entry.zone().equals(zone) && mayBeProbed(db, w)) {
           near.add(db);
         }
       }
@@ -143,9 +165,9 @@
     return near.isEmpty() ? null : near.get(random.nextInt(near.size()));
   }
 
-  private boolean mayBeAsked(Db db, Work w) {
-    boolean replica = db.usable && db != w.group.primary && !w.avoid.contains(db);
-    boolean well = !db.silent && !db.erring() && room(db, w, false);
-    return replica && well && now - db.probed > ASK_AGAIN;
+  private boolean mayBeProbed(MemberState db, RoutedRequest w) {
+    boolean replica = db.usable && db != w.group.primary && !w.excluded.contains(db);
+    boolean well = !db.silent && !db.failing() && admits(db, w, false);
+    return replica && well && now - db.lastProbed > REPROBE_MS;
   }
 }
--- a/src/main/java/crankspar/policy/Primary.java
+++ b/src/main/java/crankspar/policy/Primary.java
@@ -2,15 +2,19 @@
 
 import java.util.ArrayList;
 
-/** Who is primary: the newest note wins, before any note the list, else members are asked. */
+/**
+ * Tracks each group's primary: the newest role report wins; before any report the list decides;
+ * otherwise members are tried in turn.
+ */
 abstract class Primary extends Limits {
   Primary(Settings settings, Actions actions) {
     super(settings, actions);
   }
 
-  abstract void rescue(Attempt a, boolean newPrimary); // what is out at a member moves on
+  abstract void retryElsewhere(
+      Attempt a, boolean newPrimary); // resends an attempt of a silent or replaced member elsewhere
 
-  void noteRole(Db db, Role role, double at) {
+  void noteRole(MemberState db, Role role, double at) {
     if (role == Role.UNKNOWN || at < db.roleAt) {
       return;
     }
@@ -20,21 +24,21 @@
     db.wasPrimary = role == Role.PRIMARY;
     if (role == Role.PRIMARY && at >= g.primaryAt) {
       if (g.primary != null && g.primary != db) {
-        new ArrayList<>(g.primary.out).forEach(a -> rescue(a, true));
+        new ArrayList<>(g.primary.attempts).forEach(a -> retryElsewhere(a, true));
       }
       g.primary = db;
       g.primaryAt = at;
-      g.roundGap = PAUSE;
-      g.asked = 0;
+      g.searchBackoff = INITIAL_BACKOFF_MS;
+      g.searchMisses = 0;
     } else if (role == Role.REPLICA && g.primary == db) {
       g.primary = null;
-      g.next = g.members.indexOf(db) + 1;
-      g.asked = 0;
+      g.searchIndex = g.members.indexOf(db) + 1;
+      g.searchMisses = 0;
     }
   }
 
-  /** The member to hold for primary, or null while that is open. */
-  Db believed(Group g) {
+  /** The member taken for primary, or null while none is known. */
+  MemberState currentPrimary(Group g) {
     if (g.primary != null) {
       return g.primary.usable ? g.primary : null;
     }
@@ -45,47 +49,52 @@
   }
 
   /**
-   * Where a write or fresh read goes; a search has one request out at a time, the others wait
-   * unsent.
+   * Chooses the member for a write or fresh read. While the primary is searched, one request at a
+   * time is sent and the others wait in the queue.
    */
-  Db choosePrimary(Work w) {
+  MemberState choosePrimary(RoutedRequest w) {
     Group g = w.group;
-    Db p = believed(g);
+    MemberState p = currentPrimary(g);
     if (p != null && !p.silent) {
-      return room(p, w, false) ? p : null;
+      return admits(p, w, false) ? p : null;
     }
     if (p != null && trialDue(p, w)) {
       return p;
     }
     boolean risky =
-        strict && w.kind.freshness() != Freshness.WRITE; // a guess might answer from old data
+        answersStale
+            && w.requestClass.freshness()
+                != Freshness.WRITE; // a member that is not primary might answer from old data
     if (risky
-        || g.scout != null
-        || now < g.roundAt
-        || w.tries + 2 > settings.limits().maxAttempts()) {
+        || g.searchAttempt != null
+        || now < g.searchResumeAt
+        || w.attemptCount + 2 > settings.limits().maxAttempts()) {
       return null;
     }
     for (int i = 0; i < g.members.size(); i++) {
-      Db db = g.members.get((g.next + i) % g.members.size());
-      if (db.usable && db != p && (!db.silent || trialDue(db, w)) && room(db, w, false)) {
+      MemberState db = g.members.get((g.searchIndex + i) % g.members.size());
+      if (db.usable && db != p && (!db.silent || trialDue(db, w)) && admits(db, w, false)) {
         return db;
       }
     }
     return null;
   }
 
-  /** A searcher missed: on to the next in id order, and a wait once a full round has missed. */
-  void searchOn(Work w, Db missed) {
+  /**
+   * Continues the search after a miss with the next member in id order; backs off after a full
+   * round of misses.
+   */
+  void continueSearch(RoutedRequest w, MemberState missed) {
     Group g = w.group;
     boolean known = g.primary != null && g.primary != missed && !g.primary.silent;
-    if (w.kind.freshness() != Freshness.WRITE || known) {
+    if (w.requestClass.freshness() != Freshness.WRITE || known) {
       return;
     }
-    g.next = g.members.indexOf(missed) + 1;
-    if (++g.asked >= g.members.stream().filter(m -> m.usable && !m.silent).count()) {
-      g.asked = 0;
-      g.roundAt = now + g.roundGap * (0.75 + random.nextDouble() / 2);
-      g.roundGap = Math.min(2 * g.roundGap, WAIT_MOST);
+    g.searchIndex = g.members.indexOf(missed) + 1;
+    if (++g.searchMisses >= g.members.stream().filter(m -> m.usable && !m.silent).count()) {
+      g.searchMisses = 0;
+      g.searchResumeAt = now + g.searchBackoff * (0.75 + random.nextDouble() / 2);
+      g.searchBackoff = Math.min(2 * g.searchBackoff, MAX_BACKOFF_MS);
     }
   }
 }
--- a/src/main/java/crankspar/policy/Reads.java
+++ b/src/main/java/crankspar/policy/Reads.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * Where a read goes: the gate by known positions, zones by their lowest latency of late, the pick
- * of two.
+ * Chooses the member for a read: replicas that are fresh enough, zones in order of their lowest
+ * recent latency, and the less loaded of two random candidates.
  */
 abstract class Reads extends Positions {
-  static final int WINDOW = 10;
-  static final int SESSIONS = 100_000; // remembered
-  static final double COLD_LONG =
-      2; // a cold one gets this many sixes of instances' part of long reads
+  static final int WINDOW_PERIODS = 10;
+  static final int MAX_SESSIONS = 100_000; // session marks kept; the oldest is evicted
+  static final double COLD_LONG_READS =
+      2; // a cold member gets the long reads of this many times six instances
 
   Reads(Settings settings, Actions actions) {
     super(settings, actions);
@@ -21,214 +21,230 @@
   }
 
   @Override
-  double needAtStart(Request r, RequestClass kind) {
+  double initialMinPosition(Request r, RequestClass kind) {
     if (kind.freshness() == Freshness.FRESH) {
       return now;
     }
     boolean paged =
-        kind.freshness() == Freshness.BOUNDED && r.markAge() > 0; // a later page: never back
+        kind.freshness() == Freshness.BOUNDED
+            && r.markAge() > 0; // a later page: never older than the page before
     if (kind.freshness() != Freshness.SESSION && !paged) {
       return Double.NEGATIVE_INFINITY;
     }
     double told = r.markAge() > 0 ? now - r.markAge() : Double.NEGATIVE_INFINITY;
     boolean carried = paged || settings.sessionMarks() == SessionMarks.CARRIED;
-    return carried ? told : Math.max(told, marks.getOrDefault(r.session(), forgotten));
+    return carried
+        ? told
+        : Math.max(told, sessionMarks.getOrDefault(r.session(), newestEvictedMark));
   }
 
-  void remember(String session, double commit) {
+  void rememberCommit(String session, double commit) {
     if (session == null
         || settings.sessionMarks() == SessionMarks.CARRIED
         || Double.isNaN(commit)) {
       return;
     }
-    double last = marks.getOrDefault(session, commit);
-    marks.remove(session);
-    marks.put(session, Math.max(last, commit));
-    if (marks.size() > SESSIONS) {
-      var oldest = marks.entrySet().iterator();
-      forgotten = Math.max(forgotten, oldest.next().getValue());
+    double last = sessionMarks.getOrDefault(session, commit);
+    sessionMarks.remove(session);
+    sessionMarks.put(session, Math.max(last, commit));
+    if (sessionMarks.size() > MAX_SESSIONS) {
+      var oldest = sessionMarks.entrySet().iterator();
+      newestEvictedMark = Math.max(newestEvictedMark, oldest.next().getValue());
       oldest.remove();
     }
   }
 
-  void noteLatency(Db db, double elapsed) {
-    lows.merge(db.entry.zone(), elapsed, Math::min);
+  void noteLatency(MemberState db, double elapsed) {
+    minLatencies.merge(db.entry.zone(), elapsed, Math::min);
   }
 
-  double distance(String zone) {
-    Double low = lows.getOrDefault(zone, lowsBefore.get(zone));
+  double zoneLatency(String zone) {
+    Double low = minLatencies.getOrDefault(zone, previousMinLatencies.get(zone));
     return low != null
-        ? Math.min(low, lowsBefore.getOrDefault(zone, low))
+        ? Math.min(low, previousMinLatencies.getOrDefault(zone, low))
         : zone.equals(settings.zone()) ? 0 : Double.POSITIVE_INFINITY;
   }
 
   void sortZones() {
-    dbs.values().stream()
+    memberStates.values().stream()
         .map(db -> db.entry.zone())
         .filter(z -> !zoneOrder.contains(z))
         .distinct()
         .toList()
         .forEach(zoneOrder::add);
-    zoneOrder.sort(Comparator.comparingDouble(this::distance));
+    zoneOrder.sort(Comparator.comparingDouble(this::zoneLatency));
   }
 
   void everyPeriod() {
     sortZones();
-    if (++period % (WINDOW / 2) == 0) {
-      lowsBefore = lows;
-      lows = new HashMap<>();
+    if (++period % (WINDOW_PERIODS / 2) == 0) {
+      previousMinLatencies = minLatencies;
+      minLatencies = new HashMap<>();
     }
     probeUnheard();
-    dbs.values().forEach(this::doubtOldMeasure);
-    dbs.values().forEach(db -> db.share = Math.max(db.share, Math.min(1, db.share + SHARE_UP / 4)));
-    after(PERIOD, this::everyPeriod);
+    memberStates.values().forEach(this::capStaleLatency);
+    memberStates
+        .values()
+        .forEach(db -> db.share = Math.max(db.share, Math.min(1, db.share + SHARE_UP / 4)));
+    schedule(PERIOD_MS, this::everyPeriod);
   }
 
-  /** A probe's position and role are as old as its report; a primary's position dates it. */
+  /**
+   * Position and role are as old as the probed member's report; the position is the time of the
+   * role.
+   */
   @Override
   public void onProbe(double at, ProbeResult r) {
     now = at;
-    Db db = dbs.get(r.member());
+    MemberState db = memberStates.get(r.member());
     if (db == null) {
       return;
     }
     Group g = groups.get(db.entry.group());
-    boolean awaited = g.positionOf == db;
-    g.positionOf = awaited ? null : g.positionOf;
+    boolean awaited = g.positionProbe == db;
+    g.positionProbe = awaited ? null : g.positionProbe;
     if (!r.ok()) {
       db.lost |= db.silent;
       if (awaited) {
-        pump(g); // the next one may be asked
+        dispatch(g); // the next replica may be probed
       }
       return;
     }
     noteLatency(db, r.elapsed());
     if (!Double.isNaN(r.position())) {
-      reached(db, r.position());
+      updatePosition(db, r.position());
       noteRole(db, r.role(), r.position());
     }
-    pump(g);
+    dispatch(g);
   }
 
   /**
-   * What peers learned first-hand, never empty: a position stays true however late, and dates its
-   * role.
+   * Applies what peers observed themselves; the list is never empty. A position stays true however
+   * late it arrives, and is the time of the role reported with it.
    */
   @Override
   public void onPeerReports(double at, List<PeerReport> what) {
     now = at;
-    if (sparse == what.get(0).inFlight() >= 0) { // bounds hold for all in flight while that is told
-      sparse = !sparse;
-      least = sparse ? Math.max(1, LEAST / settings.instanceCount()) : LEAST;
-      dbs.values().forEach(db -> db.limit = firstLimit());
+    if (loadUnknown
+        == what.get(0).inFlight()
+            >= 0) { // limits cover all instances' requests while peers report them
+      loadUnknown = !loadUnknown;
+      minLimit = loadUnknown ? Math.max(1, MIN_LIMIT / settings.instanceCount()) : MIN_LIMIT;
+      memberStates.values().forEach(db -> db.limit = initialLimit());
     }
     for (PeerReport h : what) {
-      Db db = dbs.get(h.member()); // one that the own list has not named is none of ours
-      if (db != null && h.position() < now + groups.get(db.entry.group()).ahead + UNHEARD) {
-        if (h.heardAt() > db.told) {
-          back(db);
-          db.told = h.heardAt();
+      MemberState db =
+          memberStates.get(h.member()); // members missing from the own list are ignored
+      if (db != null && h.position() < now + groups.get(db.entry.group()).clockAhead + UNHEARD_MS) {
+        if (h.heardAt() > db.lastPeerReport) {
+          markAlive(db);
+          db.lastPeerReport = h.heardAt();
         }
         db.position = Math.max(db.position, h.position());
         noteRole(db, h.role(), h.position());
-        db.others = Math.max(0, h.inFlight());
+        db.peerInFlight = Math.max(0, h.inFlight());
       }
     }
-    groups.values().forEach(this::pump);
+    groups.values().forEach(this::dispatch);
   }
 
-  Db chooseReplica(Work w) {
-    var near = new ArrayList<Db>();
-    Db due = null;
-    boolean seek = strict && believed(w.group) == null;
+  MemberState chooseReplica(RoutedRequest w) {
+    var candidates = new ArrayList<MemberState>();
+    MemberState trial = null;
+    boolean roleUnknown = answersStale && currentPrimary(w.group) == null;
     for (String zone : zoneOrder) {
-      for (Db db : w.group.members) {
+      for (MemberState db : w.group.members) {
         if (!db.usable
             || !db.entry.zone().equals(zone)
             || db == w.group.primary
-            || w.avoid.contains(db)
-            || !passes(db, w)) {
+            || w.excluded.contains(db)
+            || !freshEnough(db, w)) {
           continue;
         }
-        if (db.silent || db.erring()) {
-          due = due == null && trialDue(db, w) && w.out.isEmpty() && w.tries == 0 ? db : due;
-        } else if (room(db, w, false)) {
-          if (seek && db.role == Role.UNKNOWN) {
+        if (db.silent || db.failing()) {
+          trial =
+              trial == null && trialDue(db, w) && w.attempts.isEmpty() && w.attemptCount == 0
+                  ? db
+                  : trial;
+        } else if (admits(db, w, false)) {
+          if (roleUnknown && db.role == Role.UNKNOWN) {
             return db;
           }
-          near.add(db);
+          candidates.add(db);
         }
       }
-      if (near.size() >= 2 && !seek) {
+      if (candidates.size() >= 2 && !roleUnknown) {
         break;
       }
     }
-    if (due != null || near.isEmpty()) {
-      return due;
+    if (trial != null || candidates.isEmpty()) {
+      return trial;
     }
-    Db one = near.get(random.nextInt(near.size()));
-    Db two = near.get(random.nextInt(near.size()));
+    MemberState one = candidates.get(random.nextInt(candidates.size()));
+    MemberState two = candidates.get(random.nextInt(candidates.size()));
     int cmp = Integer.compare(two.inFlight(), one.inFlight());
-    boolean strained = sparse && Math.max(one.strain, two.strain) > STRAIN;
+    boolean strained = loadUnknown && Math.max(one.latencyRatio, two.latencyRatio) > OVERLOAD_RATIO;
     boolean tie =
         strained
-            ? two.strain < one.strain
-            : many && one.entry.zone().equals(two.entry.zone())
+            ? two.latencyRatio < one.latencyRatio
+            : largeFleet && one.entry.zone().equals(two.entry.zone())
                 ? random.nextBoolean()
-                : near.indexOf(two) < near.indexOf(one);
+                : candidates.indexOf(two) < candidates.indexOf(one);
     return cmp < 0 || cmp == 0 && tie ? two : one;
   }
 
   /**
-   * A read that may hold up replay for longer than the tightest bound waits for the replica
-   * furthest behind, so that the others stay fresh; all instances see the same one. Harm: it waits.
+   * Whether a read may hold up replay for longer than the tightest staleness bound. Such a read
+   * goes only to the replica furthest behind, the same for all instances, so that the others stay
+   * fresh; the cost is that it may wait.
    */
-  boolean stalls(Work w) {
-    return w.kind.freshness() == Freshness.ANY && w.kind.targetLatency() * STRAIN > tightest;
+  boolean delaysReplay(RoutedRequest w) {
+    return w.requestClass.freshness() == Freshness.ANY
+        && w.requestClass.targetLatency() * OVERLOAD_RATIO > tightestBound;
   }
 
-  Db furthestBehind(Work w) {
+  MemberState furthestBehind(RoutedRequest w) {
     return w.group.members.stream()
         .filter(
             m ->
                 m.usable
                     && !m.silent
-                    && !m.erring()
+                    && !m.failing()
                     && m != w.group.primary
-                    && !w.avoid.contains(m)
-                    && (!cold(m) || w.luck * scale < COLD_LONG))
+                    && !w.excluded.contains(m)
+                    && (!isCold(m) || w.admissionDraw * fleetScale < COLD_LONG_READS))
         .min(Comparator.comparingDouble(m -> m.position))
         .orElse(null);
   }
 
-  Db choose(Work w) {
+  MemberState chooseMember(RoutedRequest w) {
     if (w.primaryOnly()) {
       return choosePrimary(w);
     }
-    Db last = stalls(w) ? furthestBehind(w) : null;
+    MemberState last = delaysReplay(w) ? furthestBehind(w) : null;
     if (last != null) {
-      return room(last, w, false) ? last : null;
+      return admits(last, w, false) ? last : null;
     }
-    Db db = chooseReplica(w);
-    Db p = believed(w.group);
+    MemberState db = chooseReplica(w);
+    MemberState p = currentPrimary(w.group);
     if (db != null
-        && !(sparse
-            && db.strain > STRAIN
+        && !(loadUnknown
+            && db.latencyRatio > OVERLOAD_RATIO
             && p != null
-            && p.strain < db.strain
+            && p.latencyRatio < db.latencyRatio
             && !p.silent
-            && !p.erring()
-            && room(p, w, true))) {
+            && !p.failing()
+            && admits(p, w, true))) {
       return db;
     }
-    boolean well = p != null && !p.silent && !p.erring() && p.strain <= STRAIN;
-    boolean spare = well && !w.avoid.contains(p) && room(p, w, true);
+    boolean well = p != null && !p.silent && !p.failing() && p.latencyRatio <= OVERLOAD_RATIO;
+    boolean spare = well && !w.excluded.contains(p) && admits(p, w, true);
     if (db == null && !spare && awaitsPosition(w)) {
       return null;
     }
-    if (p == null || w.avoid.contains(p) || p.erring() && !trialDue(p, w)) {
+    if (p == null || w.excluded.contains(p) || p.failing() && !trialDue(p, w)) {
       return null;
     }
-    return p.silent ? trialDue(p, w) ? p : null : room(p, w, true) ? p : null;
+    return p.silent ? trialDue(p, w) ? p : null : admits(p, w, true) ? p : null;
   }
 }
--- a/src/main/java/crankspar/policy/package-info.java
+++ b/src/main/java/crankspar/policy/package-info.java
@@ -1,16 +1,16 @@
 /**
- * The decisions on requests: which server, when, whether again, what is turned away. Nothing else
- * decides that.
+ * The routing policy: which member a request is sent to and when, whether it is repeated, and what
+ * is refused. No other package decides this.
  *
- * <p>{@link crankspar.policy.Balance} is stepped with events by way of {@link crankspar.Router} and
- * acts through {@link crankspar.Router.Actions}; it knows no wire, clock or thread. Its rooms are
- * one chain, each resting on those below it only: what is known ({@code Known}), how much a member
- * may have ({@code Limits}), who is primary ({@code Primary}), which replica is fresh and how that
- * is found out ({@code Positions}), where a read goes ({@code Reads}), and lines, further attempts
- * and answers ({@code Balance}). A request comes in by {@code onRequest}, stands in its group's
- * line, is given a member by {@code choose}, passes the guards in {@code send}, and ends in {@code
- * finish}, once.
+ * <p>{@link crankspar.policy.Balance} receives events through {@link crankspar.Router} and acts
+ * through {@link crankspar.Router.Actions}; it uses no network, clock or thread. Its classes form
+ * one inheritance chain, each using only those below it: state ({@code Known}), load limits and
+ * slow start ({@code Limits}), primary tracking ({@code Primary}), replica freshness ({@code
+ * Positions}), read routing ({@code Reads}), outcomes ({@code Outcomes}), and queues, retries and
+ * final answers ({@code Balance}). A request arrives in {@code onRequest}, waits in its group's
+ * queue, gets a member from {@code chooseMember}, passes the checks in {@code send}, and ends once,
+ * in {@code finish}.
  *
- * <p>Why a chain and not parts that hold each other: docs/decisions.md.
+ * <p>For the reasons for inheritance over composition here, see docs/decisions.md.
  */
 package crankspar.policy;
--- a/src/test/java/crankspar/BalanceLoadTest.java
+++ b/src/test/java/crankspar/BalanceLoadTest.java
@@ -17,48 +17,47 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/**
- * Stories of the policy under load: budgets, silence, jams, second copies, and members that left.
- */
+/** Tests the policy under load: slow start, silence, overload, hedging, and members that left. */
 class BalanceLoadTest extends BalanceFixture {
-  // ---- Found on the bench ----
+  // ---- Regressions found in simulation ----
   /**
-   * h6fbc6f, icbb7fb: long reads held up replay on every replica, so bounded reads had only the
-   * primary.
+   * h6fbc6f, icbb7fb: long reads held up replay on every replica, so only the primary served
+   * bounded reads.
    */
   @Test
   void longReadsKeepToTheReplicaFurthestBehind() {
     Fake f = group();
-    f.hear("c", Role.REPLICA, 0);
+    f.probeResult("c", Role.REPLICA, 0);
     f.at(50);
-    f.hear("a", Role.REPLICA, 10);
-    f.hear("b", Role.REPLICA, 10);
+    f.probeResult("a", Role.REPLICA, 10);
+    f.probeResult("b", Role.REPLICA, 10);
     assertEquals("c", f.ask("long", Fake.LONG, 6000, "s"));
     assertEquals("c", f.ask("long2", Fake.LONG, 6000, "s"));
     for (int i = 3; i < 9; i++) {
       f.ask("long" + i, Fake.LONG, 6000, "s");
     }
-    assertTrue(f.tries.stream().allMatch(t -> t.endsWith(" c")), "the others wait: " + f.tries);
+    assertTrue(
+        f.attempts.stream().allMatch(t -> t.endsWith(" c")), "the others wait: " + f.attempts);
   }
 
-  /** iaf28e5: a line served oldest first sent every read too late. */
+  /** iaf28e5: a queue served oldest first sent every read too late. */
   @Test
   void theNewestIsSentFirst() {
     Fake f = new Fake().start(member("a", "near"));
-    f.hear("a", Role.REPLICA, 0);
+    f.probeResult("a", Role.REPLICA, 0);
     for (int i = 0; i < 9; i++) {
       f.at(i * 2);
       f.ask("r" + i, ANY);
     }
-    int first = f.tries.size();
+    int first = f.attempts.size();
     assertTrue(first < 9);
     f.end("r0", Status.OK, Role.REPLICA, 0);
-    assertTrue(f.tries.get(first).startsWith("r8 "), f.tries.toString());
+    assertTrue(f.attempts.get(first).startsWith("r8 "), f.attempts.toString());
   }
 
   /**
-   * Muscat, big-1: crowded members were taken for silent before any answer was due, and reads
-   * doubled.
+   * Muscat, big-1: overloaded members counted as silent before any answer was due, and reads were
+   * sent twice.
    */
   @Test
   void aCrowdIsNotSilence() {
@@ -66,12 +65,12 @@
     f.ask("r", ANY);
     f.ask("q", ANY);
     f.at(150);
-    assertEquals(2, f.tries.size());
+    assertEquals(2, f.attempts.size());
   }
 
   /**
-   * A hundred instances, one request each in the window: a member that all hear of as cold gets its
-   * part.
+   * A hundred instances with one request each: a member that all know to be cold gets its share
+   * only.
    */
   @Test
   void allInstancesTogetherKeepTheColdBudget() {
@@ -87,28 +86,28 @@
   }
 
   /**
-   * The list may be wrong: where only draining binds, a member listed as gone or missing goes on
-   * serving.
+   * The list may be wrong: where only draining is binding, a member listed as gone or missing stays
+   * in use.
    */
   @Test
   void whereOnlyDrainingBindsGoneMembersServe() {
     Fake f = new Fake();
-    f.soft = true;
+    f.softRemoval = true;
     group(f);
-    f.module.onMembers(
+    f.router.onMembers(
         f.now, ListKind.CHANGES, List.of(member("b", "near", Health.DRAINING, false, 0)));
-    f.module.onMembers(
+    f.router.onMembers(
         f.now,
         ListKind.CHANGES,
         List.of(
             member("a", "near", Health.GONE, false, 0),
             member("b", "near", Health.GONE, false, 0)));
-    f.module.onMembers(f.now, ListKind.FULL, List.of());
+    f.router.onMembers(f.now, ListKind.FULL, List.of());
     assertEquals("a", f.ask("r", BROWSE));
     assertEquals("p", f.ask("w", WRITE));
   }
 
-  /** A full primary is not hammered: each turn away doubles the pause. */
+  /** Each rejection by a full primary doubles the backoff. */
   @Test
   void aFullPrimaryGetsPauses() {
     Fake f = group();
@@ -124,21 +123,18 @@
   }
 
   /**
-   * Probes are paid by requests: an idle instance of a large fleet sends a handful, whatever the
-   * fleet.
+   * Requests earn the tokens for probes: an idle instance sends a handful, whatever the fleet size.
    */
   @Test
   void probesArePaidByRequests() {
     Fake f = new Fake();
     f.reports = Router.Reports.IN_PROBES;
     group(f).at(120_000);
-    long probes = f.acts.stream().filter(a -> a.startsWith("probe")).count();
+    long probes = f.actions.stream().filter(a -> a.startsWith("probe")).count();
     assertTrue(probes > 0 && probes <= 10, probes + " probes");
   }
 
-  /**
-   * With about one request out at a time, attempts that ended unanswered still add up to silence.
-   */
+  /** With about one request in flight at a time, unanswered attempts still add up to silence. */
   @Test
   void unansweredAttemptsAddUpToSilence() {
     Fake f = new Fake().start(member("a", "near"));
@@ -146,12 +142,12 @@
       f.at(1000 * i);
       f.ask("r" + i, ANY);
       f.at(1000 * i + 240);
-      long probes = f.acts.stream().filter("probe a"::equals).count();
+      long probes = f.actions.stream().filter("probe a"::equals).count();
       assertEquals(
           i == 0 ? 0 : i < 3 ? 1 : 2,
           probes,
           "one after a second as ever, one as it is found silent");
-      f.module.onOutcome(
+      f.router.onOutcome(
           f.now,
           new Router.Outcome(
               "r" + i, 0, "a", Status.TIMEOUT, 240, false, Role.UNKNOWN, Double.NaN));
@@ -159,8 +155,8 @@
   }
 
   /**
-   * A lost answer is one, a jam is many: unanswered attempts in a row lower a share far more than
-   * one does.
+   * A single unanswered attempt is a lost answer, several in a row are an overload and lower the
+   * share far more.
    */
   @Test
   void aJamIsShedFasterThanALostAnswer() {
@@ -169,7 +165,7 @@
       Fake f = new Fake();
       f.siblings = 100;
       f.start(member("p", "near"));
-      f.hear("p", Role.PRIMARY, 0);
+      f.probeResult("p", Role.PRIMARY, 0);
       int ended = 0;
       for (int i = 0; i < 60; i++) {
         boolean went = f.ask("r" + i, FRESH, 1000, "s") != null;
@@ -187,15 +183,15 @@
   }
 
   /**
-   * Where own requests in flight tell nothing, slow answers lower the share of requests that a
-   * member gets.
+   * Where own requests in flight do not show the load, slow answers lower a member's share of
+   * requests.
    */
   @Test
   void aLargeFleetShedsByAnswersTimes() {
     Fake f = new Fake();
     f.siblings = 100;
     f.start(member("p", "near"));
-    f.hear("p", Role.PRIMARY, 0);
+    f.probeResult("p", Role.PRIMARY, 0);
     int sent = 0;
     for (int i = 0; i < 60; i++) {
       f.at(2000 * i);
@@ -203,14 +199,14 @@
       sent += i >= 40 && to != null ? 1 : 0;
       f.at(2000 * i + 700);
       if (f.numbers.containsKey("w" + i)) {
-        f.module.onOutcome(
+        f.router.onOutcome(
             f.now, new Router.Outcome("w" + i, 0, "p", Status.OK, 700, true, Role.PRIMARY, f.now));
       }
     }
     assertTrue(sent < 12, sent + " of the last 20 sent to a primary that answers late");
   }
 
-  /** A member whose connections are reset loses its reads, as one that answers errors does. */
+  /** Connection resets take a member's reads away as error answers do. */
   @Test
   void resetsCountAsErrors() {
     Fake f = new Fake();
@@ -223,26 +219,29 @@
         f.end("r" + i, Status.OK, Role.REPLICA, 0);
       }
     }
-    int before = f.tries.size();
+    int before = f.attempts.size();
     for (int i = 0; i < 6; i++) {
       f.ask("q" + i, ANY);
     }
     long toA =
-        f.tries.subList(before, f.tries.size()).stream().filter(t -> t.endsWith(" a")).count();
+        f.attempts.subList(before, f.attempts.size()).stream()
+            .filter(t -> t.endsWith(" a"))
+            .count();
     assertTrue(
-        f.tries.stream().anyMatch(t -> t.endsWith(" a")) && toA <= 1,
+        f.attempts.stream().anyMatch(t -> t.endsWith(" a")) && toA <= 1,
         toA + " sends after its resets");
   }
 
   /**
-   * Many instances' trials can keep a jam alive: each one that fails makes the next less likely.
+   * Trials of many instances can keep an overload going: each failed one makes the next less
+   * likely.
    */
   @Test
   void aLargeFleetsTrialsOfASilentMemberDwindle() {
     Fake f = new Fake();
     f.siblings = 12;
     f.start(member("p", "near"));
-    f.hear("p", Role.PRIMARY, 0);
+    f.probeResult("p", Role.PRIMARY, 0);
     int late = 0;
     for (int i = 0; i < 60; i++) {
       f.at(1000 * i);
@@ -253,25 +252,28 @@
         f.end("r" + i, Status.TIMEOUT, Role.UNKNOWN, 0);
       }
     }
-    assertTrue(f.tries.size() > 1 && late <= 8, late + " trials in the last forty seconds");
+    assertTrue(f.attempts.size() > 1 && late <= 8, late + " trials in the last forty seconds");
   }
 
-  /** Work given up at a server may run on: its place stays taken for one mean answer. */
+  /**
+   * An abandoned request may still run at the server: it counts as in flight for one mean answer
+   * time.
+   */
   @Test
   void abandonedWorkKeepsItsPlace() {
     Fake f = new Fake().start(member("a", "near"));
-    f.hear("a", Role.REPLICA, 0);
+    f.probeResult("a", Role.REPLICA, 0);
     f.ask("r", ANY);
     f.ask("q", ANY);
     f.ask("s", ANY);
-    int sent = f.tries.size();
+    int sent = f.attempts.size();
     f.end("r", Status.TIMEOUT, Role.UNKNOWN, 0);
-    assertEquals(sent, f.tries.size());
+    assertEquals(sent, f.attempts.size());
     f.at(40);
   }
 
   /**
-   * A hung primary holds keyed writes; a new one takes them over while their key is known, and not
+   * Keyed writes in flight at a hung primary are resent to a new one while their key is known, not
    * later.
    */
   @Test
@@ -279,18 +281,18 @@
     Fake f = group();
     assertEquals("p", f.ask("w", WRITE));
     f.at(1000);
-    f.hear("a", Role.PRIMARY, 0);
+    f.probeResult("a", Role.PRIMARY, 0);
     f.at(1100);
-    assertTrue(f.did("send w a"), f.tries.toString());
+    assertTrue(f.did("send w a"), f.attempts.toString());
     Fake late = group();
     late.ask("w", WRITE);
     late.at(1900);
-    late.hear("a", Role.PRIMARY, 0);
+    late.probeResult("a", Role.PRIMARY, 0);
     late.at(2900);
     assertFalse(late.did("send w a"), "its key may be forgotten");
   }
 
-  /** The first copy of a doubled read is called off too once the second is answered. */
+  /** The first copy of a hedged read is cancelled once the second is answered. */
   @Test
   void theLosingCopyIsCalledOff() {
     Fake f = group();
@@ -300,14 +302,14 @@
     }
     f.at(380);
     String twice =
-        f.tries.stream().filter(t -> t.contains(" 1 ")).findFirst().orElseThrow().split(" ")[0];
+        f.attempts.stream().filter(t -> t.contains(" 1 ")).findFirst().orElseThrow().split(" ")[0];
     f.end(twice, 1, Status.OK, Role.REPLICA, 0);
     assertTrue(f.did("cancel " + twice + " 0"));
   }
 
   // ---- Members that left ----
   private static void replace(Fake f, String old, String young, double lastStart) {
-    f.module.onMembers(
+    f.router.onMembers(
         f.now,
         ListKind.CHANGES,
         List.of(
@@ -316,7 +318,8 @@
   }
 
   /**
-   * Guards against a day of replacements: what left takes no share of what a cold member may earn.
+   * Guards against members that left still counting in the slow-start budget: after a day of
+   * replacements it was too small.
    */
   @Test
   void membersThatLeftForGoodCountNoMore() {
@@ -326,9 +329,9 @@
     }
     f.at(20_000);
     replace(f, "x199", "cold", f.now);
-    f.hear("a", Role.REPLICA, 400);
-    f.hear("c", Role.REPLICA, 400);
-    f.hear("cold", Role.REPLICA, 5);
+    f.probeResult("a", Role.REPLICA, 400);
+    f.probeResult("c", Role.REPLICA, 400);
+    f.probeResult("cold", Role.REPLICA, 5);
     int sent = 0;
     for (int i = 0; i < 40; i++) {
       String at = f.ask("r" + i, BROWSE);
@@ -346,20 +349,20 @@
   void aMemberThatLeavesWithWorkOutIsKeptUntilItsOutcome() {
     Fake f = group();
     String at = f.ask("r", BROWSE);
-    f.module.onMembers(f.now, ListKind.CHANGES, List.of(member(at, "near", Health.GONE, false, 0)));
+    f.router.onMembers(f.now, ListKind.CHANGES, List.of(member(at, "near", Health.GONE, false, 0)));
     f.end("r", Status.RESET, Role.UNKNOWN, 0);
     assertEquals(2, f.sends("r"), "it goes on elsewhere");
   }
 
   // ---- Connections that break ----
   /**
-   * Guards against members shut out by their connections: a day of resets had all of them cold and
-   * silent.
+   * Guards against members excluded for single connection faults: a day of resets left all of them
+   * cold and silent.
    */
   @Test
   void oneBrokenConnectionSaysLittleOfItsMember() {
     Fake f = new Fake().start(member("a", "near"));
-    f.hear("a", Role.REPLICA, 5);
+    f.probeResult("a", Role.REPLICA, 5);
     assertEquals("a", f.ask("first", ANY));
     f.end("first", Status.OK, Role.REPLICA, 5);
     for (int i = 0; i < 20; i++) {
@@ -368,14 +371,14 @@
       f.end("good" + i, Status.OK, Role.REPLICA, 5);
       assertEquals("a", f.ask("bad" + i, ANY));
       f.end("bad" + i, i % 2 == 0 ? Status.RESET : Status.CONNECT_FAILED, Role.UNKNOWN, 0);
-      f.module.onClientGone(f.now, "bad" + i);
+      f.router.onClientGone(f.now, "bad" + i);
     }
   }
 
   @Test
   void connectionsThatFailInARowMakeItLost() {
     Fake f = new Fake().start(member("a", "near"));
-    f.hear("a", Role.REPLICA, 5);
+    f.probeResult("a", Role.REPLICA, 5);
     f.ask("first", ANY);
     f.end("first", Status.OK, Role.REPLICA, 5);
     f.at(10);
--- a/src/test/java/crankspar/BalanceTest.java
+++ b/src/test/java/crankspar/BalanceTest.java
@@ -21,9 +21,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Stories of the policy: the ordinary path, roles, deadlines, repeats, and members that change. */
+/** Tests the routing policy: normal routing, roles, deadlines, repeats, and members that change. */
 class BalanceTest extends BalanceFixture {
-  // ---- The ordinary path ----
+  // ---- Normal routing ----
   @Test
   void readsGoToTheNearestZonesReplicas() {
     Fake f = group();
@@ -35,15 +35,15 @@
   @Test
   void measuredLatencySortsTheZones() {
     Fake f = group();
-    f.module.onProbe(f.now, new Router.ProbeResult("a", true, 9, Role.REPLICA, f.now));
+    f.router.onProbe(f.now, new Router.ProbeResult("a", true, 9, Role.REPLICA, f.now));
     f.at(11_000);
-    f.module.onProbe(f.now, new Router.ProbeResult("a", true, 9, Role.REPLICA, f.now));
-    f.module.onProbe(f.now, new Router.ProbeResult("c", true, 2, Role.REPLICA, f.now));
-    f.module.onProbe(f.now, new Router.ProbeResult("p", true, 3, Role.PRIMARY, f.now));
+    f.router.onProbe(f.now, new Router.ProbeResult("a", true, 9, Role.REPLICA, f.now));
+    f.router.onProbe(f.now, new Router.ProbeResult("c", true, 2, Role.REPLICA, f.now));
+    f.router.onProbe(f.now, new Router.ProbeResult("p", true, 3, Role.PRIMARY, f.now));
     f.at(12_100);
-    f.hear("c", Role.REPLICA, 0);
-    f.hear("a", Role.REPLICA, 900);
-    f.hear("b", Role.REPLICA, 900);
+    f.probeResult("c", Role.REPLICA, 0);
+    f.probeResult("a", Role.REPLICA, 900);
+    f.probeResult("b", Role.REPLICA, 900);
     assertEquals("c", f.ask("r", BROWSE));
   }
 
@@ -51,7 +51,7 @@
   void aLaggingZoneSendsReadsToTheNext() {
     Fake f = group();
     f.at(600);
-    f.hear("c", Role.REPLICA, 10);
+    f.probeResult("c", Role.REPLICA, 10);
     assertEquals("c", f.ask("r", BROWSE, 1200, "s"));
   }
 
@@ -70,7 +70,7 @@
     f.end("w", Status.OK, Role.PRIMARY, 1);
     assertEquals("p", f.ask("mine", OWN));
     assertNotEquals("p", f.ask("other", OWN, 750, "t"));
-    f.hear("c", Role.REPLICA, 0);
+    f.probeResult("c", Role.REPLICA, 0);
     assertEquals("c", f.ask("mine2", OWN));
   }
 
@@ -79,9 +79,9 @@
     Fake f = new Fake();
     f.sessionMarks = Router.SessionMarks.CARRIED;
     group(f);
-    f.module.onRequest(f.now, new Router.Request("r", OWN, 750, "s", 2, 1));
+    f.router.onRequest(f.now, new Router.Request("r", OWN, 750, "s", 2, 1));
     assertTrue(f.did("send r p"));
-    f.module.onRequest(f.now, new Router.Request("q", OWN, 750, "s", 0, 1));
+    f.router.onRequest(f.now, new Router.Request("q", OWN, 750, "s", 0, 1));
     assertFalse(f.did("send q p"));
   }
 
@@ -123,9 +123,9 @@
     assertEquals("a", f.ask("w", WRITE));
     assertNull(f.ask("w2", WRITE));
     f.end("w", Status.MISS, Role.REPLICA, 0);
-    assertEquals("b", Fake.memberOf(f.tries.get(f.tries.size() - 1)));
-    f.end(f.tries.get(f.tries.size() - 1).split(" ")[0], Status.MISS, Role.REPLICA, 0);
-    assertEquals("p", Fake.memberOf(f.tries.get(f.tries.size() - 1)));
+    assertEquals("b", Fake.memberOf(f.attempts.get(f.attempts.size() - 1)));
+    f.end(f.attempts.get(f.attempts.size() - 1).split(" ")[0], Status.MISS, Role.REPLICA, 0);
+    assertEquals("p", Fake.memberOf(f.attempts.get(f.attempts.size() - 1)));
   }
 
   @Test
@@ -146,10 +146,10 @@
     Fake f = group();
     f.at(100);
     f.ask("r", ANY);
-    String at = Fake.memberOf(f.tries.get(0));
+    String at = Fake.memberOf(f.attempts.get(0));
     f.end("r", Status.OK, Role.PRIMARY, 0);
     assertEquals(at, f.ask("w", WRITE));
-    f.hear("p", Role.PRIMARY, 90);
+    f.probeResult("p", Role.PRIMARY, 90);
     assertEquals(at, f.ask("w2", WRITE), "an old report does not win");
   }
 
@@ -169,7 +169,7 @@
     f.at(899);
     f.end("w", Status.TIMEOUT, Role.UNKNOWN, 0);
     f.at(2000);
-    assertEquals(1, f.finals("w"));
+    assertEquals(1, f.finalAnswers("w"));
     assertTrue(f.did("fail w"), "it may have run: no refusal");
     assertEquals(1, f.sends("w"));
   }
@@ -179,15 +179,15 @@
     Fake f = new Fake().start();
     f.ask("w", WRITE);
     f.ask("r", BROWSE);
-    f.module.onRequest(f.now, new Router.Request("x", ANY, 700, null, -1, 99));
-    f.module.onMembers(f.now, ListKind.FULL, List.of());
-    f.module.onTimer(f.now, 424242);
-    f.module.onClientGone(f.now, "never");
-    f.module.onOutcome(
+    f.router.onRequest(f.now, new Router.Request("x", ANY, 700, null, -1, 99));
+    f.router.onMembers(f.now, ListKind.FULL, List.of());
+    f.router.onTimer(f.now, 424242);
+    f.router.onClientGone(f.now, "never");
+    f.router.onOutcome(
         f.now, new Router.Outcome("never", 0, "a", Status.OK, 1, true, Role.PRIMARY, f.now));
     f.at(4000);
     for (String id : List.of("w", "r", "x")) {
-      assertEquals(1, f.finals(id), id);
+      assertEquals(1, f.finalAnswers(id), id);
       assertTrue(f.did("refuse " + id));
     }
   }
@@ -236,14 +236,14 @@
   @Test
   void drainingAndGoneMembersGetNothingMore() {
     Fake f = group();
-    f.module.onMembers(
+    f.router.onMembers(
         f.now,
         ListKind.CHANGES,
         List.of(
             member("a", "near", Health.DRAINING, false, 0),
             member("b", "near", Health.GONE, false, 0)));
     assertEquals("c", f.ask("r", BROWSE));
-    f.module.onMembers(f.now, ListKind.FULL, List.of(member("p", "far")));
+    f.router.onMembers(f.now, ListKind.FULL, List.of(member("p", "far")));
     assertEquals("p", f.ask("r2", BROWSE));
   }
 
@@ -251,9 +251,9 @@
   void aColdMemberGetsNoBurst() {
     Fake f = group();
     f.at(100);
-    f.module.onMembers(
+    f.router.onMembers(
         f.now, ListKind.CHANGES, List.of(member("a", "near", Health.RUNNING, false, f.now)));
-    f.hear("a", Role.REPLICA, 0);
+    f.probeResult("a", Role.REPLICA, 0);
     int sent = 0;
     for (int i = 0; i < 20; i++) {
       if ("a".equals(f.ask("r" + i, ANY))) {
@@ -281,7 +281,7 @@
     assertNotEquals("p", f.ask("r", BROWSE));
   }
 
-  // ---- Trouble ----
+  // ---- Faults and overload ----
   @Test
   void silenceIsNoticedAndReadsMoveOn() {
     Fake f = group();
@@ -290,7 +290,7 @@
       f.ask("q" + i, ANY);
     }
     f.at(300);
-    assertTrue(f.sends("r") + f.sends("q0") + f.sends("q1") > 3, first + " " + f.tries);
+    assertTrue(f.sends("r") + f.sends("q0") + f.sends("q1") > 3, first + " " + f.attempts);
   }
 
   @Test
@@ -299,15 +299,15 @@
     f.ask("w0", WRITE);
     f.ask("w1", WRITE);
     f.at(1000);
-    long before = f.tries.stream().filter(t -> t.endsWith(" p")).count();
+    long before = f.attempts.stream().filter(t -> t.endsWith(" p")).count();
     for (int i = 2; i < 12; i++) {
       f.ask("w" + i, WRITE);
     }
-    long after = f.tries.stream().filter(t -> t.endsWith(" p")).count();
+    long after = f.attempts.stream().filter(t -> t.endsWith(" p")).count();
     assertTrue(after - before <= 1, before + " then " + after);
     f.at(5000);
     for (int i = 2; i < 12; i++) {
-      assertEquals(1, f.finals("w" + i));
+      assertEquals(1, f.finalAnswers("w" + i));
     }
   }
 
@@ -317,8 +317,8 @@
     int last = 0;
     for (int i = 0; i < 40; i++) {
       f.at(i * 4);
-      f.hear("a", Role.REPLICA, 0);
-      f.hear("b", Role.REPLICA, 0);
+      f.probeResult("a", Role.REPLICA, 0);
+      f.probeResult("b", Role.REPLICA, 0);
       String to = f.ask("r" + i, ANY);
       boolean bad = "a".equals(to);
       last += bad && i >= 20 ? 1 : 0;
@@ -348,10 +348,10 @@
   @Test
   void aLostWatchIsAskedAgain() {
     Fake f = group();
-    long before = f.acts.stream().filter("watch true"::equals).count();
-    f.module.onWatchLost(f.now);
+    long before = f.actions.stream().filter("watch true"::equals).count();
+    f.router.onWatchLost(f.now);
     f.at(1000);
-    assertEquals(before + 1, f.acts.stream().filter("watch true"::equals).count());
+    assertEquals(before + 1, f.actions.stream().filter("watch true"::equals).count());
   }
 
   @Test
@@ -368,7 +368,7 @@
       }
     }
     f.at(5000);
-    return f.acts;
+    return f.actions;
   }
 
   @Test
--- a/src/test/java/crankspar/ClockStepTest.java
+++ b/src/test/java/crankspar/ClockStepTest.java
@@ -10,16 +10,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The wall clock steps forward under a running pooler, whose own clock goes on. What databases tell
- * in Unix time lies ahead of it from then on: a replica that is behind by less than the step looked
- * fresh for every bound, and a database that restarted stayed cold for as long as the step.
+ * The wall clock steps forward under a running pooler, whose monotonic clock does not. Times that
+ * databases report in Unix time are ahead of it from then on: a replica lagging by less than the
+ * step looked fresh for every bound, and a restarted database stayed cold for as long as the step.
  */
 class ClockStepTest {
   private static final double STEP = 3000;
   private static final double BEHIND = 2000;
   private static final double HOUR = 3_600_000;
 
-  /** The time after which a started database is warm by the settings, and some more. */
+  /** Longer than the time after which a started database is warm by the settings. */
   private static final double WARM = 20_000;
 
   private static final int ASKED = 50;
@@ -29,8 +29,8 @@
   @BeforeEach
   void allIsWell() {
     fake.start(Fake.member("p", "far", Health.RUNNING, true, 0), Fake.member("r", "near"));
-    fake.hear("p", Role.PRIMARY, 0);
-    fake.hear("r", Role.REPLICA, 10);
+    fake.probeResult("p", Role.PRIMARY, 0);
+    fake.probeResult("r", Role.REPLICA, 10);
     assertThat(fake.ask("before", Fake.BROWSE)).isEqualTo("r");
     fake.end("before", Router.Status.OK, Role.REPLICA, 10);
     fake.at(100);
@@ -38,23 +38,23 @@
 
   @Test
   void aReplicaThatIsBehindByLessThanTheStepServesNoBoundedRead() {
-    fake.hear("p", Role.PRIMARY, -STEP);
-    fake.hear("r", Role.REPLICA, BEHIND - STEP);
+    fake.probeResult("p", Role.PRIMARY, -STEP);
+    fake.probeResult("r", Role.REPLICA, BEHIND - STEP);
     assertThat(fake.ask("b", Fake.BROWSE)).isEqualTo("p");
   }
 
   @Test
   void aReplicaThatIsNotBehindServes() {
-    fake.hear("p", Role.PRIMARY, -STEP);
-    fake.hear("r", Role.REPLICA, 10 - STEP);
+    fake.probeResult("p", Role.PRIMARY, -STEP);
+    fake.probeResult("r", Role.REPLICA, 10 - STEP);
     assertThat(fake.ask("b", Fake.BROWSE)).isEqualTo("r");
   }
 
-  /** Marks and positions are of one clock, whatever ours says. */
+  /** Session marks and positions come from the same clock, whatever the pooler's clock shows. */
   @Test
   void aSessionReadIsServedByWhoHasItsMark() {
-    fake.hear("p", Role.PRIMARY, -STEP);
-    fake.hear("r", Role.REPLICA, BEHIND - STEP);
+    fake.probeResult("p", Role.PRIMARY, -STEP);
+    fake.probeResult("r", Role.REPLICA, BEHIND - STEP);
     assertThat(fake.ask("s", Fake.OWN)).isEqualTo("r");
   }
 
@@ -65,11 +65,11 @@
         List.of(
             Fake.member("p", "far", Health.RUNNING, true, started),
             Fake.member("r", "near", Health.RUNNING, false, started));
-    fake.module.onMembers(fake.now, ListKind.CHANGES, members);
+    fake.router.onMembers(fake.now, ListKind.CHANGES, members);
     fake.at(WARM);
-    fake.module.onMembers(fake.now, ListKind.FULL, members);
-    fake.hear("p", Role.PRIMARY, 0);
-    fake.hear("r", Role.REPLICA, 10);
+    fake.router.onMembers(fake.now, ListKind.FULL, members);
+    fake.probeResult("p", Role.PRIMARY, 0);
+    fake.probeResult("r", Role.REPLICA, 10);
     int sent = 0;
     for (int i = 0; i < ASKED; i++) {
       sent += fake.ask("w" + i, Fake.OWN) != null ? 1 : 0;
--- a/src/test/java/crankspar/EmbedExampleTest.java
+++ b/src/test/java/crankspar/EmbedExampleTest.java
@@ -24,11 +24,11 @@
                 new Router.Member("10.0.0.2:3306", "here", false, 1, Router.Health.RUNNING, 1, "std", 0)));
         router.onRequest(clock, new Router.Request("r1", 1, 500, "session-1", -1, 1));
         // actions.send("r1", member, timeout) was called: send it, and when the answer is in:
-        String member = Fake.memberOf(actions.tries.get(0));
+        String member = Fake.memberOf(actions.attempts.get(0));
         router.onOutcome(clock + 8, new Router.Outcome("r1", 0, member, Router.Status.OK, 8, true,
                 Router.Role.REPLICA, clock));
         // end
-        assertEquals(0, actions.finals("r1"));
+        assertEquals(0, actions.finalAnswers("r1"));
     }
 
     @Test void theReadmeSaysTheSame() throws Exception {
--- a/src/test/java/crankspar/Fake.java
+++ b/src/test/java/crankspar/Fake.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** A proxy for tests: a hand-set clock, and actions kept as text in the order they came. */
+/** A scripted proxy: a clock set by the test, and actions recorded as text in order. */
 final class Fake implements Router.Actions {
   static final double ZERO = 1_000_000;
-  final List<String> acts = new ArrayList<>();
+  final List<String> actions = new ArrayList<>();
   final TreeMap<Double, List<Long>> timers = new TreeMap<>();
-  final List<String> tries = new ArrayList<>();
+  final List<String> attempts = new ArrayList<>();
   final java.util.Map<String, Integer> numbers = new java.util.HashMap<>();
   Router.LaggingRead behind = Router.LaggingRead.ANSWERS;
   Router.RoleInList roleInList = Router.RoleInList.NEVER;
@@ -20,10 +20,10 @@
   Router.Repeat writes = Router.Repeat.KEYED;
   boolean secondCopies = true;
   boolean askDiscovery = true;
-  boolean soft;
+  boolean softRemoval;
   int siblings = 3;
   long seed = 7;
-  Balance module;
+  Balance router;
   double now = ZERO;
 
   static final int BROWSE = 0;
@@ -59,7 +59,7 @@
         false,
         0,
         reports,
-        new Router.Guarantees(20, 10_000, 0.2, 16_000, 500, 2.5, 1500, soft),
+        new Router.Guarantees(20, 10_000, 0.2, 16_000, 500, 2.5, 1500, softRemoval),
         new Router.Limits(10, secondCopies, true, true, true, 1000, 250, 30_000, 20_000, true),
         new Router.Prices(0.02, 0.08, 0.02, 0.05, 0.01));
   }
@@ -77,9 +77,9 @@
   }
 
   Fake start(Router.Member... members) {
-    module = new Balance(settings(), this);
-    module.onStart(now);
-    module.onMembers(now, Router.ListKind.OLD_COPY, List.of(members));
+    router = new Balance(settings(), this);
+    router.onStart(now);
+    router.onMembers(now, Router.ListKind.OLD_COPY, List.of(members));
     return this;
   }
 
@@ -92,38 +92,41 @@
     return new Router.Member(id, zone, primary, 1, health, 1, "std", lastStart);
   }
 
-  /** Moves the clock on, playing the timers that fall due. */
+  /** Advances the clock and runs the timers that fall due. */
   Fake at(double ms) {
     double to = ZERO + ms;
     while (!timers.isEmpty() && timers.firstKey() <= to) {
       var due = timers.pollFirstEntry();
       now = Math.max(now, due.getKey());
-      due.getValue().forEach(cookie -> module.onTimer(now, cookie));
+      due.getValue().forEach(cookie -> router.onTimer(now, cookie));
     }
     now = to;
     return this;
   }
 
-  /** A request of a class; answers with the member it was sent to at once, or null. */
+  /** Submits a request; returns the member it was sent to at once, or null. */
   String ask(String id, int kind, double ttl, String session) {
-    int before = tries.size();
-    module.onRequest(now, new Router.Request(id, kind, ttl, session, -1, 1));
-    return tries.size() > before ? memberOf(tries.get(tries.size() - 1)) : null;
+    int before = attempts.size();
+    router.onRequest(now, new Router.Request(id, kind, ttl, session, -1, 1));
+    return attempts.size() > before ? memberOf(attempts.get(attempts.size() - 1)) : null;
   }
 
   String ask(String id, int kind) {
     return ask(id, kind, kind == WRITE ? 3000 : kind == BROWSE ? 1200 : 750, "s");
   }
 
-  /** The newest attempt of a request ends; position in ms before now. */
+  /** Ends the newest attempt of a request; {@code ago} is the age of its position (ms). */
   void end(String id, Router.Status status, Router.Role role, double ago) {
     end(id, numbers.get(id), status, role, ago);
   }
 
   void end(String id, int number, Router.Status status, Router.Role role, double ago) {
     String at =
-        tries.stream().filter(t -> t.startsWith(id + " " + number + " ")).findFirst().orElseThrow();
-    module.onOutcome(
+        attempts.stream()
+            .filter(t -> t.startsWith(id + " " + number + " "))
+            .findFirst()
+            .orElseThrow();
+    router.onOutcome(
         now,
         new Router.Outcome(
             id,
@@ -136,21 +139,21 @@
             role == Router.Role.UNKNOWN ? Double.NaN : now - ago));
   }
 
-  /** A read without session marks, answered: how the module comes to know a member. */
-  void hear(String member, Router.Role role, double ago) {
-    module.onProbe(now, new Router.ProbeResult(member, true, 1, role, now - ago));
+  /** Delivers a probe result, from which the policy learns a member's role and position. */
+  void probeResult(String member, Router.Role role, double ago) {
+    router.onProbe(now, new Router.ProbeResult(member, true, 1, role, now - ago));
   }
 
   long sends(String id) {
-    return tries.stream().filter(t -> t.startsWith(id + " ")).count();
+    return attempts.stream().filter(t -> t.startsWith(id + " ")).count();
   }
 
-  long finals(String id) {
-    return acts.stream().filter(a -> a.equals("refuse " + id) || a.equals("fail " + id)).count();
+  long finalAnswers(String id) {
+    return actions.stream().filter(a -> a.equals("refuse " + id) || a.equals("fail " + id)).count();
   }
 
   boolean did(String act) {
-    return acts.contains(act);
+    return actions.contains(act);
   }
 
   static String memberOf(String attempt) {
@@ -160,23 +163,23 @@
   @Override
   public void send(String request, String member, double timeout) {
     int number = numbers.merge(request, 0, (a, b) -> a + 1);
-    tries.add(request + " " + number + " " + member);
-    acts.add("send " + request + " " + member);
+    attempts.add(request + " " + number + " " + member);
+    actions.add("send " + request + " " + member);
   }
 
   @Override
   public void refuse(String request, double retryIn) {
-    acts.add("refuse " + request);
+    actions.add("refuse " + request);
   }
 
   @Override
   public void fail(String request) {
-    acts.add("fail " + request);
+    actions.add("fail " + request);
   }
 
   @Override
   public void cancel(String request, int attempt) {
-    acts.add("cancel " + request + " " + attempt);
+    actions.add("cancel " + request + " " + attempt);
   }
 
   @Override
@@ -186,16 +189,16 @@
 
   @Override
   public void probe(String member) {
-    acts.add("probe " + member);
+    actions.add("probe " + member);
   }
 
   @Override
   public void watchDiscovery(boolean on) {
-    acts.add("watch " + on);
+    actions.add("watch " + on);
   }
 
   @Override
   public void log(String text) {
-    acts.add("log " + text);
+    actions.add("log " + text);
   }
 }
--- a/src/test/java/crankspar/GossipStoryTest.java
+++ b/src/test/java/crankspar/GossipStoryTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What peers tell reaches the decisions: with fourteen poolers each sees a replica's answers too
- * seldom for a bound.
+ * Tests that peer reports reach the routing policy: with fourteen poolers, each sees a replica's
+ * answers too seldom to meet a staleness bound.
  */
 class GossipStoryTest {
   private final Fake fake = new Fake();
@@ -18,8 +18,8 @@
     fake.siblings = 14;
     fake.secondCopies = false;
     fake.start(Fake.member("p", "near"), Fake.member("r", "near"));
-    fake.hear("p", Role.PRIMARY, 0);
-    fake.hear("r", Role.REPLICA, 0);
+    fake.probeResult("p", Role.PRIMARY, 0);
+    fake.probeResult("r", Role.REPLICA, 0);
     return fake;
   }
 
@@ -27,8 +27,8 @@
   void aReplicaThatAPeerHasHeardTakesBoundedReads() {
     fleet().at(900);
     assertThat(fake.ask("old", Fake.BROWSE))
-        .isEqualTo("p"); // its own word on r is older than the bound
-    fake.module.onPeerReports(
+        .isEqualTo("p"); // its own data about r is older than the bound
+    fake.router.onPeerReports(
         fake.now, List.of(new PeerReport("r", Role.REPLICA, fake.now - 60, fake.now, 0)));
     assertThat(fake.ask("new", Fake.BROWSE)).isEqualTo("r");
   }
@@ -36,9 +36,9 @@
   @Test
   void anOlderWordNeverLowersAPositionNorUndoesARole() {
     fleet().at(900);
-    fake.module.onPeerReports(
+    fake.router.onPeerReports(
         fake.now, List.of(new PeerReport("r", Role.REPLICA, fake.now - 60, fake.now, 0)));
-    fake.module.onPeerReports(
+    fake.router.onPeerReports(
         fake.now,
         List.of(
             new PeerReport("r", Role.PRIMARY, fake.now - 5000, fake.now, 0),
@@ -50,7 +50,7 @@
   @Test
   void aNewPrimaryIsFollowedOnAPeersWord() {
     fleet().at(900);
-    fake.module.onPeerReports(
+    fake.router.onPeerReports(
         fake.now, List.of(new PeerReport("r", Role.PRIMARY, fake.now - 60, fake.now, 0)));
     assertThat(fake.ask("write", Fake.WRITE)).isEqualTo("r");
   }
@@ -58,20 +58,20 @@
   @Test
   void noMemberIsSentToThatTheOwnListHasNotNamed() {
     fleet().at(900);
-    fake.module.onPeerReports(
+    fake.router.onPeerReports(
         fake.now, List.of(new PeerReport("q", Role.PRIMARY, fake.now, fake.now, 0)));
     assertThat(fake.ask("write", Fake.WRITE)).isEqualTo("p");
     assertThat(fake.ask("read", Fake.BROWSE)).isNotEqualTo("q");
   }
 
   private void told(String member, Role role, double ago) {
-    fake.module.onPeerReports(
+    fake.router.onPeerReports(
         fake.now, List.of(new PeerReport(member, role, fake.now - ago, fake.now, 0)));
   }
 
   /**
-   * Guards against a lost connect at a member seldom used here that is busy elsewhere: silent at
-   * once, then cold for 15 s.
+   * Guards against one failed connect to a member seldom used by this pooler but busy with others:
+   * it was silent at once and then cold for 15 s.
    */
   @Test
   void oneLostConnectIsNoCrashWherePeersHearTheMember() {
@@ -79,15 +79,15 @@
     told("r", Role.REPLICA, 10);
     assertThat(fake.ask("one", Fake.BROWSE)).isEqualTo("r");
     fake.end("one", Router.Status.CONNECT_FAILED, Role.UNKNOWN, 0);
-    assertThat(fake.module.avoided()).isEmpty();
+    assertThat(fake.router.avoided()).isEmpty();
     fake.at(3200);
     told("r", Role.REPLICA, 10);
     assertThat(fake.ask("two", Fake.BROWSE)).isEqualTo("r");
   }
 
   /**
-   * Guards against silences where nobody can hear a member often: 1,995 on one herd day, most of
-   * them false.
+   * Guards against false silence where no pooler hears a member often: 1,995 cases on one day of
+   * the herd scenario, most of them false.
    */
   @Test
   void whereNobodyCanTellOneLostConnectOrSlowAnswerIsNoCrash() {
@@ -95,14 +95,14 @@
     assertThat(fake.ask("one", Fake.BROWSE)).isEqualTo("r");
     fake.at(600);
     fake.end("one", Router.Status.CONNECT_FAILED, Role.UNKNOWN, 0);
-    assertThat(fake.module.avoided()).isEmpty();
-    fake.hear("r", Role.REPLICA, 0);
+    assertThat(fake.router.avoided()).isEmpty();
+    fake.probeResult("r", Role.REPLICA, 0);
     fake.at(900);
     assertThat(fake.ask("slow", Fake.BROWSE)).isEqualTo("r");
     fake.at(1200);
-    assertThat(fake.module.avoided()).isEmpty();
+    assertThat(fake.router.avoided()).isEmpty();
     fake.at(2100);
-    assertThat(fake.module.avoided()).as("it owes too many answers").contains("r");
+    assertThat(fake.router.avoided()).as("it owes too many answers").contains("r");
   }
 
   @Test
@@ -112,10 +112,13 @@
     assertThat(fake.ask("one", Fake.BROWSE)).isEqualTo("r");
     fake.at(1300);
     fake.end("one", Router.Status.CONNECT_FAILED, Role.UNKNOWN, 0);
-    assertThat(fake.module.avoided()).containsExactly("r");
+    assertThat(fake.router.avoided()).containsExactly("r");
   }
 
-  /** A cold return that a peer met first: it is not pushed over by those who only heard of it. */
+  /**
+   * A member comes back cold and a peer hears it first: poolers that only have the report must not
+   * overload it.
+   */
   @Test
   void aLostMemberThatAPeerHearsAgainIsTakenForCold() {
     fleet().at(400);
@@ -137,7 +140,7 @@
   }
 
   /**
-   * Guards against one slow answer in a hundred that had its member passed over for half a second.
+   * Guards against excluding a member for half a second because of one slow answer in a hundred.
    */
   @Test
   void aSlowAnswerIsNoSilenceWherePeersHearTheMember() {
@@ -147,7 +150,7 @@
       fake.at(t);
       told("r", Role.REPLICA, 10);
     }
-    assertThat(fake.module.avoided()).isEmpty();
+    assertThat(fake.router.avoided()).isEmpty();
     assertThat(fake.did("cancel slow 0")).isFalse();
   }
 
@@ -159,7 +162,7 @@
       fake.at(t);
       told("r", Role.REPLICA, 10);
     }
-    assertThat(fake.module.avoided()).containsExactly("r");
+    assertThat(fake.router.avoided()).containsExactly("r");
   }
 
   @Test
@@ -168,55 +171,57 @@
     told("r", Role.REPLICA, 10);
     assertThat(fake.ask("one", Fake.BROWSE)).isEqualTo("r");
     fake.end("one", Router.Status.MOOT, Role.UNKNOWN, 0);
-    assertThat(fake.module.avoided()).isEmpty();
-    assertThat(fake.tries).last().asString().as("the next takes it").endsWith("p");
+    assertThat(fake.router.avoided()).isEmpty();
+    assertThat(fake.attempts).last().asString().as("the next takes it").endsWith("p");
   }
 
   /**
-   * Guards against fourteen poolers that each hold little at a database and together overrun it:
-   * luck was no bound.
+   * Guards against fourteen poolers that each have few requests at a database and together overload
+   * it: the random draw alone set no limit.
    */
   @Test
   void aMemberThatPeersKeepBusyGetsNoMore() {
     fleet().at(400);
-    fake.module.onPeerReports(
+    fake.router.onPeerReports(
         fake.now,
         List.of(
             new PeerReport("r", Role.REPLICA, fake.now - 10, fake.now, 30),
             new PeerReport("p", Role.PRIMARY, fake.now - 10, fake.now, 30)));
     assertThat(fake.ask("waits", Fake.BROWSE)).isNull();
-    fake.module.onPeerReports(
+    fake.router.onPeerReports(
         fake.now,
         List.of(
             new PeerReport(
                 "r", Role.UNKNOWN, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY, 1)));
-    assertThat(fake.tries)
-        .as("room is news, and the line moves at once")
+    assertThat(fake.attempts)
+        .as("a report of free capacity dispatches the queue at once")
         .last()
         .isEqualTo("waits 0 r");
   }
 
   /**
-   * Guards against bounds for all poolers' requests that go on holding where only the own are known
-   * any more.
+   * Guards against limits for all poolers' requests that stay in force once only the own requests
+   * are known.
    */
   @Test
   void aMemberIsBoundedByLuckAgainOnceLoadsAreUnknown() {
     fleet().at(400);
     told("r", Role.REPLICA, 10);
     told("p", Role.PRIMARY, 10);
-    fake.module.onPeerReports(
+    fake.router.onPeerReports(
         fake.now,
         List.of(
             new PeerReport(
                 "r", Role.UNKNOWN, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY, -1)));
     int sent = 0;
-    for (int i = 0; i < 40; i++) { // each is late: own answers' times are all there is to go by
+    for (int i = 0;
+        i < 40;
+        i++) { // each answer is late: own answer times are the only measure of load
       fake.at(400 + 20 * i);
-      fake.hear("r", Role.REPLICA, 0);
+      fake.probeResult("r", Role.REPLICA, 0);
       if ("r".equals(fake.ask("c" + i, Fake.BROWSE))) {
         sent++;
-        fake.module.onOutcome(
+        fake.router.onOutcome(
             fake.now,
             new Router.Outcome(
                 "c" + i, 0, "r", Router.Status.OK, 280, true, Role.REPLICA, fake.now));
@@ -230,10 +235,10 @@
     fake.siblings = 14;
     fake.secondCopies = false;
     fake.start(Fake.member("a", "near"), Fake.member("b", "near"), Fake.member("p", "far"));
-    fake.hear("p", Role.PRIMARY, 0);
+    fake.probeResult("p", Role.PRIMARY, 0);
     int there = 0;
     for (int i = 0; i < 40; i++) {
-      fake.module.onPeerReports(
+      fake.router.onPeerReports(
           fake.now,
           List.of(
               new PeerReport("a", Role.REPLICA, fake.now, fake.now, 4),
--- a/src/test/java/crankspar/HoldTest.java
+++ b/src/test/java/crankspar/HoldTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against reads held past half their time with nothing sent: that costs their client and the
- * result.
+ * Guards against unsent reads that are held for more than half of their time: it delays the client
+ * and lowers the score.
  */
 class HoldTest {
   @Test
@@ -14,10 +14,10 @@
     Fake f = new Fake().start(); // a group without members
     f.ask("own", Fake.OWN, 400, "s");
     f.at(190);
-    assertThat(f.finals("own")).isZero();
+    assertThat(f.finalAnswers("own")).isZero();
     f.at(199);
     assertThat(f.did("refuse own")).isTrue();
-    assertThat(f.finals("own")).isOne();
+    assertThat(f.finalAnswers("own")).isOne();
   }
 
   @Test
@@ -25,6 +25,6 @@
     Fake f = new Fake().start();
     f.ask("write", Fake.WRITE, 1000, "s");
     f.at(520);
-    assertThat(f.finals("write")).isZero();
+    assertThat(f.finalAnswers("write")).isZero();
   }
 }
--- a/src/test/java/crankspar/ModuleTextTest.java
+++ b/src/test/java/crankspar/ModuleTextTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The module stays in files that fit into one reading each. */
+/** Checks the size limits of the policy's source files. */
 class ModuleTextTest {
   private static final Path MODULE = Path.of("src/main/java/crankspar/policy");
 
@@ -27,7 +27,7 @@
     return all;
   }
 
-  /** The deploy file names all of them, and none is longer than one reading. */
+  /** The deploy file names every file, and each has fewer than 400 lines. */
   @Test
   void theDeployFileNamesEachFile() throws IOException {
     String policy =
--- a/src/test/java/crankspar/PositionsTest.java
+++ b/src/test/java/crankspar/PositionsTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Reads of one pooler of a hundred that tell each other nothing. Each hears of a database once in
- * ten seconds, so that it knew no replica to be within the bound of half a second; every bounded
- * read went to its group's primary, a fifth of the databases, and what those could not take was
- * refused. On Riga's calm day the request log had 18,248 of 19,740 refusals as bounded reads
- * without one attempt, while the replicas had nothing to do.
+ * Reads in one of a hundred poolers that exchange no reports. Each pooler heard from a database
+ * once in ten seconds and so knew no replica to be within the staleness bound of half a second.
+ * Every bounded read went to its group's primary (a fifth of the databases), and reads beyond its
+ * capacity were refused: on Riga's calm day 18,248 of 19,740 refusals in the request log were
+ * bounded reads without an attempt, while the replicas were idle.
  */
 class PositionsTest {
   private static final double STALE = 900;
@@ -31,16 +31,16 @@
         Fake.member("r1", "near"),
         Fake.member("r2", "near"),
         Fake.member("r3", "far"));
-    fake.hear("p", Role.PRIMARY, 0);
+    fake.probeResult("p", Role.PRIMARY, 0);
     fake.at(200);
   }
 
   private long probesOf(String member) {
-    return fake.acts.stream().filter(a -> a.equals("probe " + member)).count();
+    return fake.actions.stream().filter(a -> a.equals("probe " + member)).count();
   }
 
   private long probes() {
-    return fake.acts.stream().filter(a -> a.startsWith("probe ")).count();
+    return fake.actions.stream().filter(a -> a.startsWith("probe ")).count();
   }
 
   private String asked() {
@@ -51,11 +51,11 @@
     return asked().equals("r1") ? "r2" : "r1";
   }
 
-  /** Late answers of the primary, until it is no place for further reads. */
+  /** Lets the primary answer late until it takes no more reads. */
   private void strain() {
     for (int i = 0; i < 4; i++) {
       fake.ask("w" + i, Fake.WRITE);
-      fake.module.onOutcome(
+      fake.router.onOutcome(
           fake.now,
           new Router.Outcome("w" + i, 0, "p", Status.OK, LATE, true, Role.PRIMARY, fake.now - 1));
     }
@@ -73,8 +73,8 @@
     assertThat(fake.ask("b", Fake.BROWSE)).isNull();
     assertThat(probes()).isOne();
     assertThat(probesOf("r3")).as("in another zone").isZero();
-    fake.hear(asked(), Role.REPLICA, 50);
-    assertThat(fake.tries).last().asString().startsWith("b 0 " + asked());
+    fake.probeResult(asked(), Role.REPLICA, 50);
+    assertThat(fake.attempts).last().asString().startsWith("b 0 " + asked());
   }
 
   @Test
@@ -84,7 +84,7 @@
     fake.ask("b", Fake.BROWSE);
     fake.ask("c", Fake.OWN, 750, "s");
     assertThat(probes()).isOne();
-    fake.hear(asked(), Role.REPLICA, 50);
+    fake.probeResult(asked(), Role.REPLICA, 50);
     assertThat(fake.sends("a")).isOne();
     assertThat(fake.sends("b")).isOne();
   }
@@ -95,10 +95,10 @@
     fake.ask("b", Fake.BROWSE);
     String first = asked();
     String second = other();
-    fake.hear(first, Role.REPLICA, STALE);
+    fake.probeResult(first, Role.REPLICA, STALE);
     assertThat(probesOf(second)).isOne();
-    fake.hear(second, Role.REPLICA, 50);
-    assertThat(fake.tries).last().asString().startsWith("b 0 " + second);
+    fake.probeResult(second, Role.REPLICA, 50);
+    assertThat(fake.attempts).last().asString().startsWith("b 0 " + second);
   }
 
   @Test
@@ -106,24 +106,25 @@
     strain();
     fake.ask("b", Fake.BROWSE);
     String second = other();
-    fake.module.onProbe(
+    fake.router.onProbe(
         fake.now, new Router.ProbeResult(asked(), false, 250, Role.UNKNOWN, Double.NaN));
     assertThat(probesOf(second)).isOne();
   }
 
   /**
-   * It counted on the primary, which it is not sent to again, and was refused with nobody asked.
+   * Such a read waited for the primary, which it may not be sent to again, and was refused without
+   * a probe.
    */
   @Test
   void aReadThatFailedAtThePrimaryAsksAReplica() {
     assertThat(fake.ask("b", Fake.BROWSE)).isEqualTo("p");
     fake.end("b", Status.RESET, Role.UNKNOWN, 0);
     assertThat(probes()).isOne();
-    fake.hear(asked(), Role.REPLICA, 50);
-    assertThat(fake.tries).last().asString().startsWith("b 1 " + asked());
+    fake.probeResult(asked(), Role.REPLICA, 50);
+    assertThat(fake.attempts).last().asString().startsWith("b 1 " + asked());
   }
 
-  /** What no replica answers for goes to the primary as before, well within the read's aim. */
+  /** Without a probe answer the read goes to the primary, well within its target latency. */
   @Test
   void whoseWaitIsOverGoesToThePrimary() {
     strain();
@@ -131,10 +132,10 @@
     fake.at(200 + 89);
     assertThat(fake.sends("b")).isZero();
     fake.at(200 + 150);
-    assertThat(fake.tries).last().asString().startsWith("b 0 p");
+    assertThat(fake.attempts).last().asString().startsWith("b 0 p");
   }
 
-  /** Each probe is paid for: one a request at most, and a few saved up. */
+  /** Requests earn the tokens for probes: at most one each, and a few saved. */
   @Test
   void probesAreNoMoreThanRequests() {
     strain();
@@ -147,7 +148,7 @@
 
   @Test
   void wherePeersTellPositionsNoneIsAskedFor() {
-    fake.module.onPeerReports(
+    fake.router.onPeerReports(
         fake.now,
         java.util.List.of(new Router.PeerReport("p", Role.PRIMARY, fake.now, fake.now, 0)));
     strain();
--- a/src/test/java/crankspar/PropertyTest.java
+++ b/src/test/java/crankspar/PropertyTest.java
@@ -19,17 +19,14 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/**
- * A seeded driver sends random events through the interface; what the module does must keep the
- * rules.
- */
+/** Sends random events from a seeded generator; the policy's actions must keep the rules. */
 class PropertyTest {
   private static final List<String> IDS = List.of("a", "b", "c", "d", "e");
   private static final double SLACK = 20;
 
   private record Sent(String request, int number, String member) {}
 
-  /** What the driver knows of one request. */
+  /** The test's record of one request. */
   private static final class PendingRequest {
     Router.RequestClass kind;
     double deadline;
@@ -191,7 +188,7 @@
             now,
             ListKind.CHANGES,
             List.of(Fake.member(id, "near", health, false, random.nextBoolean() ? now : 0)));
-      } else if (!ended.isEmpty()) { // late and repeated news, and news of nothing known
+      } else if (!ended.isEmpty()) { // late and repeated events, and events for unknown requests
         Sent s = ended.get(random.nextInt(ended.size()));
         module.onOutcome(
             now,
@@ -205,19 +202,19 @@
     }
   }
 
-  /** The settings that a seed plays with. */
+  /** The settings derived from a seed. */
   static Fake fake(long seed) {
     var fake = new Fake();
     fake.seed = seed;
     fake.secondCopies = seed % 2 == 0;
-    fake.soft = seed % 3 == 0;
+    fake.softRemoval = seed % 3 == 0;
     fake.siblings = seed % 4 < 2 ? 3 : 60;
     fake.writes = seed % 5 == 0 ? Repeat.UNSAFE : Repeat.KEYED;
     fake.behind = seed % 7 < 4 ? Router.LaggingRead.ANSWERS : Router.LaggingRead.WAITS;
     return fake;
   }
 
-  /** What one seed's module was told and did. */
+  /** The recorded events and actions of one seed. */
   static String trace(long seed) {
     return world(seed).trace.text.toString();
   }
--- a/src/test/java/crankspar/RecoveredTest.java
+++ b/src/test/java/crankspar/RecoveredTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A sole database lets four requests of one class hang, and is well from then on; it answers
- * probes, too. No request of that class was ever sent to it again. Its mean answer, by what had
- * hung, was twice the class's aim, so that each new request looked hopeless and was refused at
- * once; the mean changes with answers only, and with nothing sent none came.
+ * A sole database lets four requests of one class hang, then recovers and answers probes too. No
+ * request of that class was ever sent to it again: the hung ones had raised its mean latency to
+ * twice the class's target, so each new request was refused at once as unable to finish in time.
+ * Only answers change the mean, and without requests there were none.
  */
 class RecoveredTest {
   private static final int HANGING = 4;
@@ -26,7 +26,8 @@
   private static final double PROBE_GAP = 1000;
 
   /**
-   * Waits of the module double up to a second; a class is served by the second one at the latest.
+   * Backoff delays of the policy double up to a second; a class is served after the second one at
+   * the latest.
    */
   private static final double SERVED_BY = 2000;
 
@@ -43,15 +44,15 @@
   }
 
   private void collect() {
-    for (; seen < fake.tries.size(); seen++) {
-      String[] attempt = fake.tries.get(seen).split(" ");
+    for (; seen < fake.attempts.size(); seen++) {
+      String[] attempt = fake.attempts.get(seen).split(" ");
       out.add(new Out(attempt[0], Integer.parseInt(attempt[1]), fake.now));
     }
   }
 
   private void end(Out attempt, Status status) {
     boolean ok = status == Status.OK;
-    fake.module.onOutcome(
+    fake.router.onOutcome(
         fake.now,
         new Outcome(
             attempt.request(),
@@ -64,7 +65,7 @@
             ok ? fake.now : Double.NaN));
   }
 
-  /** Nothing is answered; what has been out for this long has timed out. */
+  /** Sends a request, answers nothing and lets all attempts in flight time out. */
   private void hang(String id, int kind) {
     fake.ask(id, kind);
     collect();
@@ -75,7 +76,10 @@
     collect();
   }
 
-  /** Asks at an even pace while the database answers all that it is sent; how many it answered. */
+  /**
+   * Sends requests at a constant rate while the database answers all of them; returns the number of
+   * answers.
+   */
   private int served(int kind, double until) {
     int served = 0;
     double asked = time() - ASK_GAP;
@@ -88,7 +92,7 @@
       served += due.size();
       if (time() >= probed + PROBE_GAP) {
         probed = time();
-        fake.module.onProbe(fake.now, new ProbeResult("p", true, 1, Role.PRIMARY, fake.now));
+        fake.router.onProbe(fake.now, new ProbeResult("p", true, 1, Role.PRIMARY, fake.now));
       }
       if (time() >= asked + ASK_GAP) {
         asked = time();
@@ -103,7 +107,7 @@
   @ValueSource(ints = {Fake.OWN, Fake.FRESH, Fake.ANY, Fake.BROWSE})
   void theClassIsServedAgain(int kind) {
     fake.start(Fake.member("p", "near", Health.RUNNING, true, 0));
-    fake.hear("p", Role.PRIMARY, 0);
+    fake.probeResult("p", Role.PRIMARY, 0);
     for (int i = 0; i < HANGING; i++) {
       hang("h" + i, kind);
     }
--- a/src/test/java/crankspar/ReplayTest.java
+++ b/src/test/java/crankspar/ReplayTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The decisions are those that were recorded, letter by letter: a change of {@code Balance} that is
- * to alter none is seen to alter none. One that is to alter some records anew ({@code main}) in the
- * same commit, which says what it altered.
+ * Replays recorded events and compares the policy's actions byte for byte, so that a refactoring is
+ * shown to change no decision. A commit that changes decisions on purpose records the traces again
+ * ({@code main}) and says what changed.
  */
 class ReplayTest {
   private static final Path FOLDER = Path.of("src/test/resources/traces");
 
-  /** The world that pooler 0 of so many lived in. */
+  /** Numbers of poolers in the simulated fleets; pooler 0 of each is recorded. */
   private static final List<Integer> SIZES = List.of(3, 14, 100);
 
   private static final int SEEDS = 8;
@@ -63,7 +63,7 @@
     return name.startsWith("fleet") ? TestSettings.platform(n) : PropertyTest.fake(n).settings();
   }
 
-  /** Pooler 0 lives with the recorded settings, the others as the world gives them. */
+  /** Pooler 0 runs with the recorded settings, the others with those of the simulated world. */
   private static String fleet(int poolers) {
     Router.Settings mine = TestSettings.platform(poolers);
     var trace = new Trace[1];
@@ -92,7 +92,7 @@
     return trace[0].text.toString();
   }
 
-  /** Records anew. */
+  /** Records all traces again. */
   public static void main(String[] args) throws IOException {
     Files.createDirectories(FOLDER);
     for (int n : SIZES) {
--- a/src/test/java/crankspar/TestSettings.java
+++ b/src/test/java/crankspar/TestSettings.java
@@ -4,7 +4,7 @@
 import crankspar.json.Json;
 import java.io.IOException;
 
-/** The platform's settings for tests, in the words of its configuration. */
+/** The platform's settings for tests, in its configuration format. */
 public final class TestSettings {
   public static final String JSON =
       """
@@ -31,7 +31,7 @@
     return platform(1);
   }
 
-  /** The platform's, with one text of them replaced by another. */
+  /** The platform's settings with one part of their text replaced. */
   public static Router.Settings with(String was, String is) {
     if (!JSON.contains(was)) {
       throw new IllegalArgumentException(was);
@@ -43,7 +43,7 @@
     }
   }
 
-  /** With so many poolers, which may tell each other at the platform's price. */
+  /** Settings for this many poolers, which may exchange reports at the platform's price. */
   public static Router.Settings platform(int poolers) {
     return platform(poolers, 0);
   }
--- a/src/test/java/crankspar/Trace.java
+++ b/src/test/java/crankspar/Trace.java
@@ -11,14 +11,14 @@
 import java.util.function.BiFunction;
 
 /**
- * What a module was told and what it did, a line each, in order: recorded at one version, replayed
- * at another. Numbers are written so that they come back exactly.
+ * Records a policy's events and actions in order, one per line, to be replayed against another
+ * version. Numbers are written so that they parse back to the same value.
  */
 final class Trace implements Router.Actions {
   final StringBuilder text = new StringBuilder();
   private final Router.Actions to;
 
-  /** What is done goes on to {@code to}, or nowhere. */
+  /** Forwards actions to {@code to} unless it is null. */
   Trace(Router.Actions to) {
     this.to = to;
   }
@@ -30,7 +30,7 @@
     text.append('\n');
   }
 
-  /** A module whose events are written down, and which still does what it does. */
+  /** Wraps a policy and records its events without changing its behaviour. */
   static Router recording(
       Router.Settings settings,
       Trace into,
@@ -123,7 +123,7 @@
     };
   }
 
-  /** The same events to another module; gives what that did, with them. */
+  /** Replays the events against another policy; returns them with its actions. */
   static String replay(
       List<String> lines,
       Router.Settings settings,
@@ -181,7 +181,7 @@
                     .toList());
         case "gone" -> module.onClientGone(now, f[2]);
         case "timer" -> module.onTimer(now, Long.parseLong(f[2]));
-        default -> {} // an action, or a line that its event has read
+        default -> {} // an action, or a line already read with its event
       }
     }
     return trace.text.toString();
@@ -210,7 +210,7 @@
         f[1], Role.valueOf(f[2]), num(f[3]), num(f[4]), Integer.parseInt(f[5]));
   }
 
-  /** Where two texts part: the line and its number, or null. */
+  /** The first difference of two texts with its line number, or null. */
   static String difference(List<String> was, List<String> is) {
     var both = new ArrayList<>(was);
     for (int i = 0; i < Math.max(both.size(), is.size()); i++) {
