--- a/src/main/java/crankspar/net/EventLoop.java
+++ b/src/main/java/crankspar/net/EventLoop.java
@@ -22,34 +22,38 @@
 import java.util.logging.Logger;
 
 /**
- * The one thread that owns all state. Its turn has a fixed order: it takes in all that the sockets
- * hold, by {@link ReadinessPhase}, then runs timers and work until the next poll is due. Guards
- * against a late process that acts on what it read first as if it came now: after a stop, or behind
- * a long queue, ends, cancels and news that wait in the sockets are known before anything is sent.
+ * The single thread that owns all state. Each turn has a fixed order: it reads everything the
+ * sockets hold, in the order of {@link ReadinessPhase}, then runs timers and work until the next
+ * poll is due. Otherwise a late process would act on what it read first as if it had just arrived:
+ * after a stall, or behind a long queue, closes, cancels and notifications waiting in the sockets
+ * are known before anything is sent.
  *
- * <p>What a socket held when it was polled had come since the poll before ({@link
- * SocketPoller#previousPoll}), so that polls follow each other closely: a turn's work is bounded,
- * and so is an idle wait.
+ * <p>What a socket held when it was polled had arrived since the previous poll ({@link
+ * SocketPoller#previousPoll}), so polls must follow each other closely: the work of one turn is
+ * bounded, and so is an idle wait.
  */
 public final class EventLoop implements Ports.Time, AutoCloseable {
   private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
 
-  /** After so much work (ms) the sockets are polled again, however much work waits. */
+  /** After this much work (ms) the sockets are polled again, however much work is queued. */
   static final double TURN_MOST_MS = 5;
 
-  /** An idle loop polls this often (ms): the age of a request is known to within this. */
+  /** Poll interval of an idle loop (ms): the age of a request is known to within this. */
   static final double IDLE_MOST_MS = 10;
 
-  /** Posted news that one poll runs at most: news that brings news must not keep work waiting. */
+  /**
+   * Maximum number of posted notifications run per poll, so that notifications that post others do
+   * not delay work indefinitely.
+   */
   private static final int NEWS_MOST = 64;
 
-  /** The end of the loop's thread is waited for this long (ms). */
+  /** Maximum wait for the end of the loop's thread (ms). */
   private static final long END_MOST_MS = 2000;
 
-  /** Whoever waits for work on the loop looks this often whether its thread is alive. */
+  /** A caller that waits for work on the loop checks this often whether its thread is alive. */
   private static final long ALIVE_CHECK_MS = 100;
 
-  /** After a poll that failed the next one is tried so much later. */
+  /** Delay before the next poll after a failed one. */
   private static final long POLL_RETRY_NANOS = 10_000_000;
 
   private final Thread thread;
@@ -66,15 +70,15 @@
   private final CompletableFuture<Error> failure = new CompletableFuture<>();
   private volatile boolean closed;
 
-  /** Starts at once; {@code name} is its thread's. */
+  /** Starts at once; {@code name} is the name of its thread. */
   public EventLoop(String name) throws IOException {
     thread = new Thread(this::turns, name);
     thread.start();
   }
 
   /**
-   * Unix milliseconds: the wall clock is read once, so that no step of it reaches a deadline or an
-   * age.
+   * Unix milliseconds. The wall clock is read only once, so that its adjustments do not affect
+   * deadlines or ages.
    */
   @Override
   public double now() {
@@ -93,7 +97,9 @@
     }
   }
 
-  /** A stall that is noticed only after the time was set counts too: it is on the safe side. */
+  /**
+   * A stall that is detected only after the timer was set counts too, which errs on the safe side.
+   */
   @Override
   public void afterExcludingStalls(double ms, Runnable action) {
     double before = stalls.stalled();
@@ -109,12 +115,12 @@
         });
   }
 
-  /** Runs on the loop behind what is due before; from any thread. */
+  /** Runs the action on the loop behind earlier due tasks; may be called from any thread. */
   public void run(Runnable action) {
     after(0, action);
   }
 
-  /** Runs before all work that waits: for news of what has changed, never for work. */
+  /** Runs the action before all queued work. For change notifications, never for work. */
   public void runUrgent(Runnable action) {
     news.add(action);
     if (!here()) {
@@ -123,10 +129,10 @@
   }
 
   /**
-   * Runs on the loop and waits: for starting, tests and the end, never from the loop itself. What
-   * the action throws is thrown here.
+   * Runs the action on the loop and waits for it: for startup, tests and shutdown, never from the
+   * loop itself. Exceptions of the action are rethrown here.
    *
-   * @throws IllegalStateException if the loop has ended before it ran
+   * @throws IllegalStateException if the loop ended before the action ran
    */
   public void runAndWait(Runnable action) throws InterruptedException {
     var task = new FutureTask<Void>(action, null);
@@ -171,8 +177,8 @@
   }
 
   /**
-   * Waits until an Error, out of memory say, has ended the loop's thread; returns it. An end by
-   * {@link #close} is none.
+   * Waits until an Error, such as out of memory, has ended the loop's thread, and returns it. An
+   * end by {@link #close} does not count.
    */
   public Error awaitFailure() throws InterruptedException {
     try {
@@ -182,7 +188,10 @@
     }
   }
 
-  /** A poll that fails, for want of memory say, is tried again; timers and work go on meanwhile. */
+  /**
+   * One turn. A poll that fails, for lack of memory for instance, is retried; timers and work
+   * continue meanwhile.
+   */
   private void turn() {
     try {
       awaitWork();
@@ -213,7 +222,7 @@
     }
   }
 
-  /** One task at least, further ones until the next poll is due. */
+  /** Runs at least one task, and further ones until the next poll is due. */
   private void runTasks() {
     for (TaskQueue.Task task = posted.poll(); task != null; task = posted.poll()) {
       tasks.add(task);
@@ -229,7 +238,7 @@
     }
   }
 
-  /** An exception in a task must not end what else the thread has to do. */
+  /** Runs an action; an exception in it must not end the thread's other work. */
   static void guarded(Runnable action) {
     try {
       action.run();
@@ -248,15 +257,15 @@
     }
   }
 
-  // ---- For what must not act on the past.
-  /** The time of the poll before the last one: what the last one found had come since then. */
+  // ---- Age of input.
+  /** The time of the poll before the last one: what the last one found had arrived since then. */
   double previousPoll() {
     return poller.previousPoll();
   }
 
   /**
-   * Right before a write: takes in news, clients' ends and new connections if the last look at the
-   * sockets is not recent. Guards against a stop in the midst of a task.
+   * Called right before a write: reads notifications, clients' closes and new connections if the
+   * last poll is not recent, in case the process was stalled in the middle of a task.
    */
   void refresh() {
     if (!here() || now() - poller.lastLook() <= TURN_MOST_MS) {
@@ -270,24 +279,24 @@
   }
 
   /**
-   * The earliest time at which something that is noticed now outside of the sockets, such as a
-   * signal, may have happened; from any thread.
+   * The earliest time at which an event noticed now outside of the sockets, such as a signal, may
+   * have happened; may be called from any thread.
    */
   public double earliestOfNow() {
     return stalls.earliest(now());
   }
 
-  /** Hears of each time that the process stood still, with how long (ms). */
+  /** Sets a listener for stalls of the process, called with the duration (ms). */
   public void onStall(DoubleConsumer listener) {
     run(() -> stalled = listener);
   }
 
-  /** How late the loop ran a task at most in the last ten to twenty seconds (ms); on the loop. */
+  /** Maximum lateness of a task in the last ten to twenty seconds (ms); call on the loop. */
   public double recentLag() {
     return lag.recent(now());
   }
 
-  /** How late the loop ran a task at most since its start (ms); on the loop. */
+  /** Maximum lateness of a task since the start (ms); call on the loop. */
   public double mostLag() {
     return lag.most();
   }
@@ -297,16 +306,16 @@
     return readBuffers;
   }
 
-  /** On the loop. */
+  /** Registers a channel; call on the loop. */
   SelectionKey register(SelectableChannel channel, int interest, Pollable pollable)
       throws IOException {
     return poller.register(channel, interest, pollable);
   }
 
   /**
-   * Opens a connection for a handler; a failure is told as its end. Nothing is told before this has
-   * returned: a connect that the system refuses at once (no address left, no route) ends inside the
-   * call, and whoever called had no connection yet to close.
+   * Opens a connection for a handler; a failure is reported as its end. Nothing is reported before
+   * this method returns: otherwise a connect that the system refuses at once (no address left, no
+   * route) would end inside the call, when the caller has no connection to close yet.
    */
   public SocketConnection connect(InetSocketAddress address, ConnectionHandler handler) {
     var connection = new SocketConnection(this, handler, ReadinessPhase.SERVERS, now());
@@ -342,13 +351,18 @@
     }
   }
 
-  /** A listening socket; each connection gets a handler of its own, or is closed without one. */
+  /**
+   * Opens a listening socket; each connection gets its own handler, or is closed if there is none.
+   */
   public Listener listen(InetSocketAddress address, Supplier<ConnectionHandler> handlers)
       throws IOException {
     return listen(address, handlers, ReadinessPhase.ACCEPTS);
   }
 
-  /** As {@link #listen(InetSocketAddress, Supplier)}, for connections that bring news. */
+  /**
+   * Like {@link #listen(InetSocketAddress, Supplier)}, for connections that carry change
+   * notifications.
+   */
   public Listener listenUrgent(InetSocketAddress address, Supplier<ConnectionHandler> handlers)
       throws IOException {
     return listen(address, handlers, ReadinessPhase.NEWS);
@@ -362,7 +376,7 @@
     return listener;
   }
 
-  // ---- The end.
+  // ---- Shutdown.
   @Override
   public void close() {
     closed = true;
--- a/src/main/java/crankspar/net/Listener.java
+++ b/src/main/java/crankspar/net/Listener.java
@@ -10,17 +10,20 @@
 import java.util.logging.Logger;
 
 /**
- * A listening socket: all that waits at it is accepted in one poll and read at once. Each
- * connection gets a handler of its own, or is closed when there is none.
+ * A listening socket. All pending connections are accepted in one poll and read at once. Each gets
+ * its own handler, or is closed if there is none.
  */
 public final class Listener implements AutoCloseable, Pollable {
   private static final Logger LOG = Logger.getLogger(Listener.class.getName());
   private static final int BACKLOG = 512;
 
-  /** Connections that one poll accepts: as many as can wait, and those that come meanwhile. */
+  /**
+   * Maximum number of connections accepted per poll: a full backlog and those that arrive
+   * meanwhile.
+   */
   private static final int ACCEPTS_MOST = 2 * BACKLOG;
 
-  /** After an accept that failed, out of descriptors say, the next one is tried so much later. */
+  /** Delay (ms) before the next accept after one failed, for lack of descriptors for instance. */
   private static final double RETRY_MS = 20;
 
   private final EventLoop loop;
@@ -53,7 +56,10 @@
     }
   }
 
-  /** Accepts what has come since the socket was bound; from then on the polls tell its age. */
+  /**
+   * Accepts connections that arrived since the socket was bound; from then on the polls determine
+   * their age.
+   */
   void begin() {
     try {
       key = loop.register(server, SelectionKey.OP_ACCEPT, this);
@@ -115,7 +121,7 @@
   private void accepted(SocketChannel channel) {
     ConnectionHandler handler = handlers.get();
     if (handler == null) {
-      closeQuietly(channel); // unread: its client knows that nothing was taken
+      closeQuietly(channel); // nothing was read, so the client knows that no request was accepted
       return;
     }
     double emptyAt = arrival.earliest(loop.previousPoll());
@@ -138,7 +144,9 @@
     }
   }
 
-  /** Lets in what waits at the door, which its clients take for accepted, and closes it. */
+  /**
+   * Accepts the pending connections, which their clients take for accepted, and closes the socket.
+   */
   @Override
   public void close() {
     if (loop.here()) {
--- a/src/main/java/crankspar/net/Pool.java
+++ b/src/main/java/crankspar/net/Pool.java
@@ -12,18 +12,21 @@
 import java.util.function.Supplier;
 
 /**
- * Connections to the servers, kept between requests. It sends where it is told, once: a request
- * that meets a connection which will not come up, or one that ends, gets that as its outcome.
+ * A pool of connections to servers. It sends each request once, to the member it is given: a
+ * request whose connection cannot be established, or ends, gets that as its outcome.
  */
 public final class Pool<Q, A> implements Ports.Backends<Q, A>, MemberAddresses {
   static final String UNWANTED = "nobody waits for it any more, or its database takes nothing new";
 
-  /** Idle connections are closed after this share of the time at which the server may do so. */
+  /** Share of the server's idle timeout after which idle connections are closed. */
   private static final double IDLE_SHARE = 0.5;
 
   private static final double SWEEP_MS = 1000;
 
-  /** A member that is gone is forgotten after this long (ms), by when no attempt at it is out. */
+  /**
+   * A removed member's entry is deleted after this time (ms), when none of its attempts are in
+   * flight any more.
+   */
   private static final double FORGET_MS = 60_000;
 
   private final EventLoop loop;
@@ -37,8 +40,8 @@
   private int open;
 
   /**
-   * A connection that takes longer than {@code handshakeMost} ms to come up is given up; servers
-   * close what rests for {@code connIdle} ms; {@code most} may be open at once.
+   * A connection that takes longer than {@code handshakeMost} ms to establish is abandoned; servers
+   * close connections idle for {@code connIdle} ms; at most {@code most} may be open at once.
    */
   public Pool(
       EventLoop loop,
@@ -59,7 +62,7 @@
   }
 
   // ---- Members.
-  /** Where a member listens; a new address makes its old connections useless. */
+  /** Sets a member's address; a new address makes its old connections useless. */
   @Override
   public void locate(String id, InetSocketAddress address) {
     PooledMember<Q, A> member = members.computeIfAbsent(id, k -> new PooledMember<>());
@@ -71,10 +74,10 @@
   }
 
   /**
-   * A member that drains or is gone keeps no idle connections, and after a while no entry. What
-   * waits for a connection to it is not written: on a busy loop that connection came up past the
-   * grace that the rules give. Its request is told so, so that the module has to know of the
-   * member's state by then.
+   * A member that drains or is removed keeps no idle connections and, after a while, no entry.
+   * Requests waiting for a connection to it are not written: on a busy loop that connection was
+   * established after the grace period that the rules give. Their end is reported at once, so the
+   * module has to know the member's state by then.
    */
   @Override
   public void forget(String id) {
@@ -120,7 +123,7 @@
         loop, counters, member, dialect.get(), handshakeMost, () -> open--);
   }
 
-  /** A connection that rests and has not ended, by what its socket holds; null where none is. */
+  /** Returns an idle connection whose socket shows no close, or null. */
   private PooledConnection<Q, A> idle(PooledMember<Q, A> member) {
     PooledConnection<Q, A> connection = member.idle.poll();
     while (connection != null && connection.hasEnded()) {
@@ -141,7 +144,9 @@
   }
 
   // ---- Idle connections.
-  /** Frees a socket for a member that needs one: the longest idle goes first. */
+  /**
+   * Closes the connection that has been idle longest, to free a socket for a member that needs one.
+   */
   private boolean closeOldest() {
     PooledConnection<Q, A> oldest = null;
     for (PooledMember<Q, A> member : members.values()) {
