--- a/src/main/java/crankspar/pooling/Client.java
+++ b/src/main/java/crankspar/pooling/Client.java
@@ -11,7 +11,7 @@
 
 /**
  * A client connection. It submits the messages that open a transaction as one request and forwards the rest
- * on its server connection. Each command gets one answer, in order, or the connection is closed with an error.
+ * on its server connection. Each command gets one answer, in order, or the connection ends with an error.
  */
 final class Client implements ConnectionHandler, Ports.Reply<Answer> {
     private static final int MAX_HELD_BYTES = 64 * 1024;
@@ -23,7 +23,7 @@
     private final double connectedAt;
     private Connection connection;
     private ClientState state = ClientState.LOGIN;
-    private double stateSince, arrivedAt, requestedAt;
+    private double stateSince, arrivedAt, submittedAt;
     private ServerKey key;
     private String databaseName;
     private String user;
@@ -66,7 +66,7 @@
     Lease lease() { return lease; }
     long transactions() { return transactions; }
     /** When (ms) the opening batch arrived at the earliest, or became next in line if that is later. */
-    double requestedAt() { return requestedAt; }
+    double submittedAt() { return submittedAt; }
 
     /** The client's database in the current configuration, or null if it was removed. */
     Setup.Database database() { return context.database(databaseName); }
@@ -223,7 +223,7 @@
 
     void submit(OpeningBatch opening) {
         this.opening = opening;
-        requestedAt = Math.max(arrivedAt, stateSince);
+        submittedAt = Math.max(arrivedAt, stateSince);
         if (state != ClientState.LOGIN) {
             enter(ClientState.WAITING);
         }
--- a/src/main/java/crankspar/pooling/ClientContext.java
+++ b/src/main/java/crankspar/pooling/ClientContext.java
@@ -21,7 +21,7 @@
   /** Called when the client's request has its final answer. */
   void requestEnded(Client client);
 
-  /** Withdraws the client's request, or its wait for a place. */
+  /** Withdraws the client's request, if any, and frees its place or its wait for one. */
   void withdraw(Client client);
 
   void closed(Client client);
@@ -30,7 +30,7 @@
 
   void cancel(Server server);
 
-  /** Reserves buffer space shared by all clients; false if the limit would be exceeded. */
+  /** Counts bytes held for all clients (negative: released); false if they exceed the limit. */
   boolean reserveBytes(int more);
 
   boolean draining();
--- a/src/main/java/crankspar/pooling/Exchange.java
+++ b/src/main/java/crankspar/pooling/Exchange.java
@@ -176,7 +176,7 @@
       case 'S' -> send(f, PendingReply.expect(MessageKind.SYNC, List.of()));
       case 'Q' -> query(f);
       case 'F' -> {
-        progress.sending(List.of(UNKNOWN), true);
+        progress.beforeSend(List.of(UNKNOWN), true);
         send(f, PendingReply.expect(MessageKind.CALL, List.of()));
       }
       case 'd', Frame.PART -> {
@@ -225,7 +225,7 @@
       names.parseUnnamed(statement);
     } else if (existing != null) {
       names.parseTaken(name, existing, statement);
-    } else if (!exceedsStatementLimits(statement.bytes())) {
+    } else if (!refuseBeyondLimits(statement.bytes())) {
       names.parseNamed(name, statement);
     }
   }
@@ -245,7 +245,7 @@
   }
 
   /** Rejects another statement if the client already holds as many as the limits allow. */
-  private boolean exceedsStatementLimits(int bytes) {
+  private boolean refuseBeyondLimits(int bytes) {
     boolean over =
         client.statements() >= limits.statements()
             || client.bytes() + bytes > limits.statementBytes();
@@ -330,7 +330,7 @@
 
   private void execute(Frame f) throws Frame.Malformed {
     Portal portal = portals.getOrDefault(f.read().text(), new Portal(List.of()));
-    progress.sending(portal.statements(), false);
+    progress.beforeSend(portal.statements(), false);
     executions++;
     List<Statement> effects = client.effects(portal.execute());
     projected.sent(effects, batch.status());
@@ -344,8 +344,7 @@
     List<Statement> statements = Sql.split(f.read().text());
     boolean rejected = refuse(statements);
     for (Statement s : statements) {
-      rejected =
-          rejected || s.kind() == Kind.PREPARE && exceedsStatementLimits(sqlPrepared(s).bytes());
+      rejected = rejected || s.kind() == Kind.PREPARE && refuseBeyondLimits(sqlPrepared(s).bytes());
     }
     if (rejected) {
       batch.queryRefused();
@@ -370,7 +369,7 @@
               .withAnswer(Frame.complete("DEALLOCATE")));
       return;
     }
-    progress.sending(statements, true);
+    progress.beforeSend(statements, true);
     send(f, PendingReply.expect(MessageKind.QUERY, statements));
   }
 
--- a/src/main/java/crankspar/pooling/Lease.java
+++ b/src/main/java/crankspar/pooling/Lease.java
@@ -347,7 +347,7 @@
 
   // ---- Its end.
   /** The state in which the lease leaves its connection; {@code clientLeft}: the session ends. */
-  Release.Condition releaseCondition(boolean clientLeft, boolean unwanted, int cancelsPending) {
+  Release.Condition condition(boolean clientLeft, boolean unwanted, int cancelsPending) {
     return new Release.Condition(
         exchange.repliesUncertain(),
         exchange.serverBatchOpen(),
--- a/src/main/java/crankspar/pooling/LostConnection.java
+++ b/src/main/java/crankspar/pooling/LostConnection.java
@@ -4,9 +4,9 @@
 final class LostConnection {
   private LostConnection() {}
 
-  static Frame error(String severity, Progress.Outcome verdict, String why) {
+  static Frame error(String severity, Progress.Outcome outcome, String why) {
     String message = "the connection to the server was lost: " + why;
-    return verdict == Progress.Outcome.UNKNOWN
+    return outcome == Progress.Outcome.UNKNOWN
         ? Frame.error(
             severity,
             "08007",
--- a/src/main/java/crankspar/pooling/PoolingFront.java
+++ b/src/main/java/crankspar/pooling/PoolingFront.java
@@ -150,7 +150,7 @@
     @Override public void submit(Client client, OpeningBatch opening) {
         client.ticket = ++nextTicket;
         tickets.put(client.ticket, client);
-        double deadline = client.requestedAt() + opening.way.ttl();
+        double deadline = client.submittedAt() + opening.way.ttl();
         effects(places.get(client.databaseName()).ask(loop.now(), client.user(), client.ticket, deadline));
     }
 
@@ -175,7 +175,7 @@
         OpeningBatch opening = client.opening();
         Route.Way way = opening.way;
         client.placeAssigned();
-        var ask = new Ports.Ask<>(way.requestClass(), client.requestedAt() + way.ttl(), "client-" + client.process(), way.mark(),
+        var ask = new Ports.Ask<>(way.requestClass(), client.submittedAt() + way.ttl(), "client-" + client.process(), way.mark(),
                 way.group(), opening);
         pooler.take(ask, client);
     }
--- a/src/main/java/crankspar/pooling/Progress.java
+++ b/src/main/java/crankspar/pooling/Progress.java
@@ -34,13 +34,13 @@
       statementQueued,
       executed;
 
-  /** A COMMIT or ROLLBACK was sent, and no ReadyForQuery has arrived since. */
+  /** A COMMIT, ROLLBACK or PREPARE TRANSACTION was sent, without a ReadyForQuery since. */
   private boolean endSent;
 
-  /** A statement that may write was sent after that COMMIT or ROLLBACK. */
+  /** A statement that may write was sent after that end of a transaction. */
   private boolean writeAfterEnd;
 
-  /** A COMMIT is one of several messages, so it may run before the batch's last byte is sent. */
+  /** The commit is one of several messages: it may run before the batch's last byte is sent. */
   private boolean commitWithinBatch;
 
   /**
@@ -49,7 +49,7 @@
    * starts with its last byte; of several messages, the first may be executed before the last is
    * written.
    */
-  void sending(List<Statement> statements, boolean singleMessage) {
+  void beforeSend(List<Statement> statements, boolean singleMessage) {
     for (Statement s : statements) {
       readOnly &= s.harmless();
       statementQueued |= s.kind() != Kind.BEGIN;
@@ -86,7 +86,7 @@
   }
 
   /** Records a command tag; a COMMIT, ROLLBACK or PREPARE TRANSACTION settles what precedes it. */
-  void writeCommitted(String tag) {
+  void commandCompleted(String tag) {
     if (tag.equals("COMMIT") || tag.equals("ROLLBACK") || tag.equals("PREPARE TRANSACTION")) {
       inBlock = commitSent = false;
       implicitWrite = writeAfterEnd;
@@ -124,8 +124,7 @@
         || batchRunning && undeliveredCommit) {
       return Outcome.UNKNOWN;
     }
-    // Part of a batch may have run and been rolled back; only a batch that left no trace is
-    // retried.
+    // Part of a batch may have run and been rolled back: retry only a batch without any trace.
     return !answerDelivered && !writeCommitted && (readOnly || !batchRunning && !executed)
         ? Outcome.RETRYABLE
         : Outcome.FAILED;
--- a/src/main/java/crankspar/pooling/Server.java
+++ b/src/main/java/crankspar/pooling/Server.java
@@ -158,8 +158,7 @@
 
   private void carry() {
     OpeningBatch opening = lease.opening();
-    String sql =
-        opening.isEmpty() ? null : StateDiff.restoreQuery(sessionState, opening.client.session());
+    String sql = opening.isEmpty() ? null : StateDiff.query(sessionState, opening.client.session());
     if (sql == null) {
       to(ConnectionState.ACTIVE);
       lease.start();
@@ -265,8 +264,7 @@
   /** The transaction is over, and the connection may go to another client. */
   void finish(AttemptEnd<Answer> how) {
     Lease ended = lease;
-    Release.Condition condition =
-        ended.releaseCondition(false, unwanted(), cleaning.cancelsPending());
+    Release.Condition condition = ended.condition(false, unwanted(), cleaning.cancelsPending());
     detach();
     release(condition);
     ended.reportEnd(how);
@@ -363,8 +361,7 @@
     }
     lease.abandon();
     if (state == ConnectionState.ACTIVE && lease.bound()) {
-      Release.Condition condition =
-          lease.releaseCondition(true, unwanted(), cleaning.cancelsPending());
+      Release.Condition condition = lease.condition(true, unwanted(), cleaning.cancelsPending());
       if (Release.of(condition) != Release.CLOSE) {
         detach();
         release(condition);
--- a/src/main/java/crankspar/pooling/ServerReplies.java
+++ b/src/main/java/crankspar/pooling/ServerReplies.java
@@ -171,7 +171,7 @@
     if (i < statements.size() && said.type() == 'C') {
       String tag = said.read().text();
       applyToBothSides(statements.get(i), tag);
-      progress.writeCommitted(tag);
+      progress.commandCompleted(tag);
     }
     if (reply.kind() == MessageKind.EXECUTE) {
       batch.statementCompleted();
--- a/src/main/java/crankspar/pooling/StateDiff.java
+++ b/src/main/java/crankspar/pooling/StateDiff.java
@@ -27,7 +27,7 @@
    * they already match. The role is set last, because another role may lack the permission for the
    * other changes.
    */
-  static String restoreQuery(ServerState server, SessionState client) {
+  static String query(ServerState server, SessionState client) {
     if (server.options() == client.options() && server.sqlPrepared() == client.sqlPrepared()) {
       return null;
     }
--- a/src/test/java/crankspar/pooling/OwnConnectionTest.java
+++ b/src/test/java/crankspar/pooling/OwnConnectionTest.java
@@ -61,21 +61,21 @@
     client.batchOpen = client.failed = client.inBlock = false;
   }
 
-  private <T> T any(T[] all) {
+  private <T> T randomElement(T[] all) {
     return all[random.nextInt(all.length)];
   }
 
   private String statement() {
     return switch (random.nextInt(12)) {
-      case 0 -> "SET TIME ZONE '" + any(ZONES) + "'";
-      case 1 -> "SET LOCAL TIME ZONE '" + any(ZONES) + "'";
+      case 0 -> "SET TIME ZONE '" + randomElement(ZONES) + "'";
+      case 1 -> "SET LOCAL TIME ZONE '" + randomElement(ZONES) + "'";
       case 2 -> "RESET application_name";
       case 3 -> "SELECT raise('22012')";
       case 4, 5 -> "INSERT INTO claims VALUES (" + ++claims + ")";
       case 6 -> "SELECT current_setting('TimeZone')";
       case 7 -> "SAVEPOINT s";
       case 8 -> "ROLLBACK TO s";
-      case 9 -> "SELECT set_config('TimeZone', '" + any(ZONES) + "', false)";
+      case 9 -> "SELECT set_config('TimeZone', '" + randomElement(ZONES) + "', false)";
       default -> "SELECT '2026-12-04 10:00:0" + random.nextInt(2) + "'::timestamptz";
     };
   }
@@ -94,7 +94,7 @@
 
   /** One step of an extended-protocol batch: one or a few messages. */
   private Frame[] extended() {
-    String name = any(NAMES);
+    String name = randomElement(NAMES);
     return switch (random.nextInt(5)) {
       case 0 -> new Frame[] {PgWire.parse(name, statement())};
       case 1 -> new Frame[] {Frame.close('S', name)};
@@ -167,8 +167,10 @@
     client.pooled.send(sent);
     client.own.send(sent);
     int answers = ends || client.failed ? 0 : answers(frames);
-    String expected = ends ? PgWire.brief(client.own.untilReady()) : some(client.own, answers);
-    String heard = ends ? PgWire.brief(client.pooled.untilReady()) : some(client.pooled, answers);
+    String expected =
+        ends ? PgWire.brief(client.own.untilReady()) : readAnswers(client.own, answers);
+    String heard =
+        ends ? PgWire.brief(client.pooled.untilReady()) : readAnswers(client.pooled, answers);
     assertThat(heard).as(String.join("\n", program)).isEqualTo(expected);
     client.batchOpen = !ends;
     client.inBlock = ends ? !heard.endsWith("Z:I") : client.inBlock;
@@ -181,7 +183,7 @@
   }
 
   /** Reads this number of complete replies, or all up to an error. */
-  private static String some(PgWire wire, int answers) throws IOException {
+  private static String readAnswers(PgWire wire, int answers) throws IOException {
     var all = new ArrayList<Frame>();
     for (int left = answers; left > 0; ) {
       Frame f = wire.next();
@@ -194,7 +196,7 @@
     return PgWire.brief(all);
   }
 
-  private void end(Client client) throws IOException {
+  private void disconnect(Client client) throws IOException {
     for (PgWire wire : new PgWire[] {client.pooled, client.own}) {
       switch (claims % 3) {
         case 0 -> wire.socket.setSoLinger(true, 0);
@@ -213,13 +215,13 @@
         .toList();
   }
 
-  private static boolean over(Recording recording) {
+  private static boolean noTransactionOpen(Recording recording) {
     return recording.executed().stream()
         .map((Executed e) -> e.fate)
         .noneMatch(fate -> fate == Recording.Fate.OPEN);
   }
 
-  private void play(Stand stand, Recording own) throws Exception {
+  private void runProgram(Stand stand, Recording own) throws Exception {
     var clients = new ArrayList<Client>();
     for (int i = 0; i < CLIENTS; i++) {
       clients.add(new Client(ZONES[i % ZONES.length]));
@@ -229,7 +231,7 @@
       int who = random.nextInt(CLIENTS);
       if (random.nextInt(15) == 0) {
         program.add(who + ": ends");
-        end(clients.get(who));
+        disconnect(clients.get(who));
         connect(clients.get(who));
       } else if (!session
           && random.nextInt(15) == 0
@@ -241,9 +243,9 @@
       }
     }
     for (Client client : clients) {
-      end(client);
+      disconnect(client);
     }
-    until(() -> over(stand.recording) && over(own));
+    until(() -> noTransactionOpen(stand.recording) && noTransactionOpen(own));
     assertThat(effects(stand.recording)).as(String.join("\n", program)).isEqualTo(effects(own));
   }
 
@@ -260,7 +262,7 @@
       try (var stand = new Stand(0, mode + ", places { most = " + CLIENTS + " } } }")) {
         pooler = stand.address();
         database = own.listen(new InetSocketAddress("127.0.0.1", 0)).address();
-        play(stand, own.recording());
+        runProgram(stand, own.recording());
       } catch (IOException e) {
         throw new AssertionError(String.join("\n", program), e);
       } finally {
--- a/src/test/java/crankspar/pooling/ProgramsTest.java
+++ b/src/test/java/crankspar/pooling/ProgramsTest.java
@@ -51,19 +51,19 @@
   /** A client with a model of its expected session state. */
   private static final class Client {
     PgWire wire;
-    Map<String, String> now = new TreeMap<>();
+    Map<String, String> current = new TreeMap<>();
     Map<String, String> committed = new TreeMap<>();
     Map<String, String> saved;
     final Map<String, String> statements = new HashMap<>();
-    boolean block, failed;
+    boolean inBlock, failed;
 
     void connect() throws IOException {
       wire = stand.wire();
-      now = new TreeMap<>();
+      current = new TreeMap<>();
       committed = new TreeMap<>();
       saved = null;
       statements.clear();
-      block = failed = false;
+      inBlock = failed = false;
     }
 
     /** Reads one answer up to ReadyForQuery, or a clean disconnect, after which it reconnects. */
@@ -109,7 +109,7 @@
         stand.primary.cutAll();
       }
       int who = random.nextInt(n);
-      boolean busy = clients.stream().anyMatch(c -> c.block && c != clients.get(who));
+      boolean busy = clients.stream().anyMatch(c -> c.inBlock && c != clients.get(who));
       step(clients.get(who), busy, run + who + "-" + step + "#", random, expected);
     }
     for (Client c : clients) {
@@ -124,39 +124,39 @@
     switch (random.nextInt(10)) {
       case 0, 1 -> set(c, random);
       case 2 -> {
-        if (!c.block
+        if (!c.inBlock
             && !busy) { // one place for a block, one for the rest, so that none waits for a block
           // to end
           c.wire.send(Frame.query("BEGIN"));
-          c.block = c.heard().equals("C:BEGIN Z:T");
+          c.inBlock = c.heard().equals("C:BEGIN Z:T");
           c.failed = false;
         }
       }
       case 3 -> {
-        if (c.block) {
+        if (c.inBlock) {
           boolean commit = random.nextBoolean();
           c.wire.send(Frame.query(commit ? "COMMIT" : "ROLLBACK"));
           String heard = c.heard();
           if (heard.endsWith("Z:I")) {
-            c.block = c.failed = false;
+            c.inBlock = c.failed = false;
             c.saved = null;
-            c.now = new TreeMap<>(heard.startsWith("C:COMMIT") ? c.now : c.committed);
-            c.committed = new TreeMap<>(c.now);
+            c.current = new TreeMap<>(heard.startsWith("C:COMMIT") ? c.current : c.committed);
+            c.committed = new TreeMap<>(c.current);
           }
         }
       }
       case 4 -> {
-        if (c.block && !c.failed) {
+        if (c.inBlock && !c.failed) {
           boolean back = c.saved != null && random.nextBoolean();
           c.wire.send(Frame.query(back ? "ROLLBACK TO x" : "SAVEPOINT x"));
           if (c.heard().startsWith("C:")) {
-            c.now = back ? new TreeMap<>(c.saved) : c.now;
-            c.saved = new TreeMap<>(c.now);
+            c.current = back ? new TreeMap<>(c.saved) : c.current;
+            c.saved = new TreeMap<>(c.current);
           }
         }
       }
       case 5 -> {
-        if (c.block) {
+        if (c.inBlock) {
           c.wire.send(Frame.query("SELECT raise('22012')"));
           boolean failed = c.heard().endsWith("Z:E"); // it may have reconnected
           c.failed |= failed;
@@ -176,18 +176,18 @@
     c.wire.send(Frame.query(reset ? "RESET " + name : "SET " + name + " TO '" + value + "'"));
     if (c.heard().matches("C:(RE)?SET Z:[IT]")) {
       if (reset) {
-        c.now.remove(name);
+        c.current.remove(name);
       } else {
-        c.now.put(name, value);
+        c.current.put(name, value);
       }
-      c.committed = c.block ? c.committed : new TreeMap<>(c.now);
+      c.committed = c.inBlock ? c.committed : new TreeMap<>(c.current);
     }
   }
 
   private static void plain(Client c, String mark, Random random, List<Expected> expected)
       throws IOException {
     boolean write = random.nextBoolean();
-    var settings = new TreeMap<>(c.now);
+    var settings = new TreeMap<>(c.current);
     c.wire.send(
         Frame.query(write ? "INSERT INTO t VALUES ('" + mark + "')" : "SELECT '" + mark + "'"));
     expect(c, mark, settings, write, write ? "" : mark, expected);
@@ -209,7 +209,7 @@
       return;
     }
     String text = c.statements.get(name);
-    var settings = new TreeMap<>(c.now);
+    var settings = new TreeMap<>(c.current);
     boolean write = text.startsWith("INSERT");
     c.wire.send(PgWire.bind(name, mark), PgWire.execute(), PgWire.sync());
     String fixed = text.substring(text.lastIndexOf(", '") + 3, text.lastIndexOf('\''));
--- a/src/test/java/crankspar/pooling/ProgressTest.java
+++ b/src/test/java/crankspar/pooling/ProgressTest.java
@@ -53,23 +53,23 @@
         "SET a TO 1,! | RETRYABLE",
         "EXECUTE p,! | UNKNOWN"
       })
-  void outcomeAfterConnectionLoss(String program, Outcome verdict) {
+  void outcomeAfterConnectionLoss(String program, Outcome outcome) {
     var p = new Progress();
     for (String step : program.strip().split(",")) {
       switch (step.charAt(0)) {
         case '!' -> p.batchSent();
         case '>' -> p.answerDelivered();
-        case '=' -> p.writeCommitted(step.substring(1));
-        case '?' -> p.sending(Sql.split(step.substring(1)), false);
+        case '=' -> p.commandCompleted(step.substring(1));
+        case '?' -> p.beforeSend(Sql.split(step.substring(1)), false);
         default -> {
           if (step.length() == 1) {
             p.ready(step.charAt(0));
           } else {
-            p.sending(Sql.split(step), true);
+            p.beforeSend(Sql.split(step), true);
           }
         }
       }
     }
-    assertThat(p.outcome()).isEqualTo(verdict);
+    assertThat(p.outcome()).isEqualTo(outcome);
   }
 }
--- a/src/test/java/crankspar/pooling/StateTest.java
+++ b/src/test/java/crankspar/pooling/StateTest.java
@@ -113,18 +113,18 @@
   void aCarrySaysOnlyWhatDiffers() {
     SessionState client = state("TimeZone", "UTC");
     var server = new ServerState();
-    assertThat(StateDiff.restoreQuery(server, client)).isEqualTo("SET TIME ZONE 'UTC'");
+    assertThat(StateDiff.query(server, client)).isEqualTo("SET TIME ZONE 'UTC'");
     server.carried(client.options(), client.sqlPrepared());
-    assertThat(StateDiff.restoreQuery(server, client)).isNull();
+    assertThat(StateDiff.query(server, client)).isNull();
     assertThat(StateDiff.distance(server, client)).isZero();
     done(client, "SET search_path TO a, b", "SET ROLE r", "PREPARE p AS SELECT 1");
     client.ready('I');
-    assertThat(StateDiff.restoreQuery(server, client))
+    assertThat(StateDiff.query(server, client))
         .isEqualTo("SET search_path TO a, b; SET role TO r; PREPARE p AS SELECT 1");
     server.carried(client.options(), client.sqlPrepared());
     SessionState other = state();
     done(other, "PREPARE p AS SELECT 2");
-    assertThat(StateDiff.restoreQuery(server, other))
+    assertThat(StateDiff.query(server, other))
         .isEqualTo(
             "RESET role; RESET search_path; RESET timezone; DEALLOCATE \"p\"; PREPARE p AS SELECT 2");
   }
