--- a/src/main/java/crankspar/pooling/Exchange.java
+++ b/src/main/java/crankspar/pooling/Exchange.java
@@ -177,7 +177,7 @@
       case 'S' -> send(f, PendingReply.expect(MessageKind.SYNC, List.of()));
       case 'Q' -> query(f);
       case 'F' -> {
-        progress.sending(List.of(UNKNOWN), true);
+        progress.beforeSend(List.of(UNKNOWN), true);
         send(f, PendingReply.expect(MessageKind.CALL, List.of()));
       }
       case 'd', Frame.PART -> {
@@ -227,7 +227,7 @@
       names.parseUnnamed(statement);
     } else if (existing != null) {
       names.parseDuplicate(name, existing, statement);
-    } else if (!exceedsStatementLimits(statement.memoryBytes())) {
+    } else if (!refuseBeyondLimits(statement.memoryBytes())) {
       names.parseNamed(name, statement);
     }
   }
@@ -247,7 +247,7 @@
   }
 
   /** Rejects another statement if the client already holds as many as the limits allow. */
-  private boolean exceedsStatementLimits(int bytes) {
+  private boolean refuseBeyondLimits(int bytes) {
     boolean over =
         client.statementCount() >= limits.maxStatements()
             || client.preparedBytes() + bytes > limits.maxStatementBytes();
@@ -332,7 +332,7 @@
 
   private void execute(Frame f) throws Frame.Malformed {
     Portal portal = portals.getOrDefault(f.read().text(), new Portal(List.of()));
-    progress.sending(portal.statements(), false);
+    progress.beforeSend(portal.statements(), false);
     executions++;
     List<Statement> effects = client.effects(portal.execute());
     projected.sent(effects, batch.status());
@@ -346,8 +346,7 @@
     List<Statement> statements = Sql.split(f.read().text());
     boolean rejected = refuse(statements);
     for (Statement s : statements) {
-      rejected =
-          rejected || s.kind() == Kind.PREPARE && exceedsStatementLimits(sqlPrepared(s).memoryBytes());
+      rejected = rejected || s.kind() == Kind.PREPARE && refuseBeyondLimits(sqlPrepared(s).memoryBytes());
     }
     if (rejected) {
       batch.queryRefused();
@@ -372,7 +371,7 @@
               .withAnswer(Frame.complete("DEALLOCATE")));
       return;
     }
-    progress.sending(statements, true);
+    progress.beforeSend(statements, true);
     send(f, PendingReply.expect(MessageKind.QUERY, statements));
   }
 
--- a/src/main/java/crankspar/pooling/Lease.java
+++ b/src/main/java/crankspar/pooling/Lease.java
@@ -349,7 +349,7 @@
 
   // ---- Its end.
   /** The state in which the lease leaves its connection; {@code clientLeft}: the session ends. */
-  ReleaseAction.Condition releaseCondition(boolean clientLeft, boolean unwanted, int cancelsPending) {
+  ReleaseAction.Condition condition(boolean clientLeft, boolean unwanted, int cancelsPending) {
     return new ReleaseAction.Condition(
         exchange.repliesUncertain(),
         exchange.serverBatchOpen(),
--- a/src/main/java/crankspar/pooling/PoolingFront.java
+++ b/src/main/java/crankspar/pooling/PoolingFront.java
@@ -157,7 +157,7 @@
     @Override public void submit(Client client, OpeningBatch opening) {
         client.ticket = ++nextTicket;
         byTicket.put(client.ticket, client);
-        double deadline = client.requestedAt() + opening.way.timeoutMs();
+        double deadline = client.submittedAt() + opening.way.timeoutMs();
         apply(queues.get(client.databaseName()).acquire(loop.now(), client.user(), client.ticket, deadline));
     }
 
@@ -182,7 +182,7 @@
         OpeningBatch opening = client.opening();
         Route.RoutingDecision way = opening.way;
         client.placeAssigned();
-        var ask = new Ports.ClientRequest<>(way.requestClass(), client.requestedAt() + way.timeoutMs(), "client-" + client.process(), way.minPosition(),
+        var ask = new Ports.ClientRequest<>(way.requestClass(), client.submittedAt() + way.timeoutMs(), "client-" + client.process(), way.minPosition(),
                 way.group(), opening);
         pooler.submit(ask, client);
     }
--- a/src/main/java/crankspar/pooling/Server.java
+++ b/src/main/java/crankspar/pooling/Server.java
@@ -155,8 +155,7 @@
 
   private void applyClientState() {
     OpeningBatch opening = lease.opening();
-    String sql =
-        opening.isEmpty() ? null : StateDiff.restoreQuery(sessionState, opening.client.session());
+    String sql = opening.isEmpty() ? null : StateDiff.query(sessionState, opening.client.session());
     if (sql == null) {
       transitionTo(ConnectionState.ACTIVE);
       lease.start();
@@ -262,8 +261,7 @@
   /** Ends the lease with the transaction; the connection is released for other clients. */
   void finish(AttemptEnd<Answer> how) {
     Lease ended = lease;
-    ReleaseAction.Condition condition =
-        ended.releaseCondition(false, mustClose(), connectionReset.pendingCancels());
+    ReleaseAction.Condition condition = ended.condition(false, mustClose(), connectionReset.pendingCancels());
     endLease();
     release(condition);
     ended.reportEnd(how);
@@ -360,8 +358,7 @@
     }
     lease.abandon();
     if (state == ConnectionState.ACTIVE && lease.bound()) {
-      ReleaseAction.Condition condition =
-          lease.releaseCondition(true, mustClose(), connectionReset.pendingCancels());
+      ReleaseAction.Condition condition = lease.condition(true, mustClose(), connectionReset.pendingCancels());
       if (ReleaseAction.forCondition(condition) != ReleaseAction.CLOSE) {
         endLease();
         release(condition);
