--- a/src/test/java/crankspar/HoldTest.java
+++ b/src/test/java/crankspar/HoldTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against unsent reads that are held for more than half of their time: it delays the client
- * and lowers the score.
+ * Guards against unsent reads that are held for more than half of their time: it costs the client
+ * and the overall result.
  */
 class HoldTest {
   @Test
