--- a/src/main/java/crankspar/cli/Commands.java
+++ b/src/main/java/crankspar/cli/Commands.java
@@ -5,7 +5,7 @@
 import crankspar.config.Operator;
 import crankspar.daemon.Daemon;
 import crankspar.gossip.GossipReceiver;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -74,7 +74,7 @@
   int adapter() throws IOException {
     var in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
     try {
-      new BenchLink(GossipReceiver.before(Balance::new)).run(in, System.out);
+      new BenchLink(GossipReceiver.before(RequestRouter::new)).run(in, System.out);
       return 0;
     } catch (BenchLink.Malformed e) {
       System.err.println("adapter: " + e.getMessage());
--- a/src/main/java/crankspar/core/Attempt.java
+++ b/src/main/java/crankspar/core/Attempt.java
@@ -53,11 +53,11 @@
   @Override
   public boolean answerBegan(A answer) {
     return began(
-        answer, pending.freshness() == Freshness.WRITE ? null : AttemptEnd.MemberState.NONE);
+        answer, pending.freshness() == Freshness.WRITE ? null : AttemptEnd.MemberReport.NONE);
   }
 
   @Override
-  public boolean answeredInTransaction(A answer, AttemptEnd.MemberState state) {
+  public boolean answeredInTransaction(A answer, AttemptEnd.MemberReport state) {
     return began(answer, attempts.validate(state));
   }
 
@@ -67,7 +67,7 @@
    * client must not make it look silent. A write's outcome is reported only with the member state
    * that follows its answer.
    */
-  private boolean began(A answer, AttemptEnd.MemberState tell) {
+  private boolean began(A answer, AttemptEnd.MemberReport tell) {
     if (ended || pending.concluded || pending.answering != null) {
       return false;
     }
--- a/src/main/java/crankspar/core/AttemptEnd.java
+++ b/src/main/java/crankspar/core/AttemptEnd.java
@@ -13,15 +13,15 @@
    * The role and replication position (Unix ms; NaN if unknown) that an answer reported for its
    * member.
    */
-  record MemberState(Role role, double position) {
-    public static final MemberState NONE = new MemberState(Role.UNKNOWN, Double.NaN);
+  record MemberReport(Role role, double position) {
+    public static final MemberReport NONE = new MemberReport(Role.UNKNOWN, Double.NaN);
   }
 
   /** The status that is reported to the module. */
   Status status();
 
-  default MemberState memberState() {
-    return MemberState.NONE;
+  default MemberReport memberReport() {
+    return MemberReport.NONE;
   }
 
   /** Whether the request's last byte has been handed to the operating system. */
@@ -34,7 +34,7 @@
     return false;
   }
 
-  record Served<A>(A answer, MemberState memberState) implements AttemptEnd<A> {
+  record Served<A>(A answer, MemberReport memberReport) implements AttemptEnd<A> {
     @Override
     public Status status() {
       return Status.OK;
@@ -42,7 +42,7 @@
   }
 
   /** Rejected by the member because of its role or its replication lag; nothing ran. */
-  record Missed<A>(MemberState memberState) implements AttemptEnd<A> {
+  record Missed<A>(MemberReport memberReport) implements AttemptEnd<A> {
     @Override
     public Status status() {
       return Status.MISS;
@@ -50,7 +50,7 @@
   }
 
   /** Rejected by the member without being processed, because it is at capacity. */
-  record TurnedAway<A>(MemberState memberState) implements AttemptEnd<A> {
+  record TurnedAway<A>(MemberReport memberReport) implements AttemptEnd<A> {
     @Override
     public Status status() {
       return Status.FULL;
@@ -58,7 +58,7 @@
   }
 
   /** Answered with an error; the request may have run. */
-  record Erred<A>(MemberState memberState, String why) implements AttemptEnd<A> {
+  record Erred<A>(MemberReport memberReport, String why) implements AttemptEnd<A> {
     @Override
     public Status status() {
       return Status.ERROR;
--- a/src/main/java/crankspar/core/Attempts.java
+++ b/src/main/java/crankspar/core/Attempts.java
@@ -19,7 +19,7 @@
   private final Ports.Backends<Q, A> backends;
   private final Counters counters;
   private final RequestStats stats;
-  private final MemberStateValidator validator;
+  private final MemberReportValidator validator;
   private final DatabaseClock databaseClock;
   private final int maxAttempts;
 
@@ -36,7 +36,7 @@
       Ports.Backends<Q, A> backends,
       Counters counters,
       RequestStats stats,
-      MemberStateValidator validator,
+      MemberReportValidator validator,
       DatabaseClock databaseClock) {
     this.core = core;
     this.databaseClock = databaseClock;
@@ -68,7 +68,7 @@
     double deadline =
         Math.min(timeout > 0 ? attempt.startedAt + timeout : Double.MAX_VALUE, request.deadline);
     if (!maySend(attempt, deadline)) {
-      end(attempt, Status.MOOT, AttemptEnd.MemberState.NONE);
+      end(attempt, Status.MOOT, AttemptEnd.MemberReport.NONE);
       return;
     }
     double connectBy = request.connectBy(time.now());
@@ -121,7 +121,7 @@
    * The attempt's answer has begun. {@code state} is reported to the module now; if null, the
    * module receives the outcome only at the end.
    */
-  void answerBegan(Attempt<Q, A> attempt, AttemptEnd.MemberState state) {
+  void answerBegan(Attempt<Q, A> attempt, AttemptEnd.MemberReport state) {
     counters.add("begun");
     if (state != null) {
       attempt.reported = true;
@@ -129,7 +129,7 @@
     }
   }
 
-  AttemptEnd.MemberState validate(AttemptEnd.MemberState note) {
+  AttemptEnd.MemberReport validate(AttemptEnd.MemberReport note) {
     return validator.validate(note);
   }
 
@@ -147,7 +147,7 @@
       core.answer(
           attempt.requestId, request, new FinalAnswer.Failed<>(true, "the answer broke off"));
     }
-    AttemptEnd.MemberState state = validator.validate(end.memberState());
+    AttemptEnd.MemberReport state = validator.validate(end.memberReport());
     if (end instanceof AttemptEnd.Served<A> served) {
       served(attempt, served, state);
     } else {
@@ -159,7 +159,7 @@
   }
 
   private void served(
-      Attempt<Q, A> attempt, AttemptEnd.Served<A> served, AttemptEnd.MemberState state) {
+      Attempt<Q, A> attempt, AttemptEnd.Served<A> served, AttemptEnd.MemberReport state) {
     PendingRequest<Q, A> request = attempt.pending;
     if (sessionMarks != null && request.freshness() == Freshness.WRITE) {
       sessionMarks.writeCommitted(request.request.session(), state.position());
@@ -174,7 +174,7 @@
       return;
     }
     boolean mayHaveRun = abandon(attempt);
-    end(attempt, mayHaveRun ? Status.TIMEOUT : Status.MOOT, AttemptEnd.MemberState.NONE);
+    end(attempt, mayHaveRun ? Status.TIMEOUT : Status.MOOT, AttemptEnd.MemberReport.NONE);
   }
 
   /** Abandons the attempt by closing its connection; returns whether it may have run. */
@@ -201,10 +201,10 @@
 
   void abort(Attempt<Q, A> attempt) {
     abandon(attempt);
-    end(attempt, Status.CANCELLED, AttemptEnd.MemberState.NONE);
+    end(attempt, Status.CANCELLED, AttemptEnd.MemberReport.NONE);
   }
 
-  private void end(Attempt<Q, A> attempt, Status status, AttemptEnd.MemberState state) {
+  private void end(Attempt<Q, A> attempt, Status status, AttemptEnd.MemberReport state) {
     attempt.ended = true;
     PendingRequest<Q, A> request = attempt.pending;
     if (audit != null && state.role() != Role.UNKNOWN) {
@@ -223,7 +223,7 @@
   }
 
   private Outcome outcome(
-      Attempt<Q, A> attempt, Status status, boolean over, AttemptEnd.MemberState state) {
+      Attempt<Q, A> attempt, Status status, boolean over, AttemptEnd.MemberReport state) {
     return new Outcome(
         attempt.requestId,
         attempt.number,
--- a/src/main/java/crankspar/core/FinalAnswer.java
+++ b/src/main/java/crankspar/core/FinalAnswer.java
@@ -2,7 +2,7 @@
 
 /** The one final answer to a request, which a front translates into its protocol. */
 public sealed interface FinalAnswer<A> {
-  record Served<A>(A answer, AttemptEnd.MemberState memberState) implements FinalAnswer<A> {}
+  record Served<A>(A answer, AttemptEnd.MemberReport memberReport) implements FinalAnswer<A> {}
 
   /**
    * The request did not run and may be retried safely, preferably after {@code retryIn} ms (0: no
--- a/src/main/java/crankspar/core/Pooler.java
+++ b/src/main/java/crankspar/core/Pooler.java
@@ -57,7 +57,7 @@
     this.discovery = discovery;
     this.counters = counters;
     stats = new RequestStats(settings.classes().size());
-    var validator = new MemberStateValidator(time, counters, databaseClock, this::onClockAhead);
+    var validator = new MemberReportValidator(time, counters, databaseClock, this::onClockAhead);
     eventQueue = new EventQueue(time, counters);
     prober = new Prober<>(time, backends, counters, validator, settings.limits().connectTimeout());
     attempts =
--- a/src/main/java/crankspar/core/Ports.java
+++ b/src/main/java/crankspar/core/Ports.java
@@ -65,7 +65,7 @@
      * module now, whatever the request's class: the time that a client takes between two statements
      * says nothing about its member.
      */
-    default boolean answeredInTransaction(A answer, AttemptEnd.MemberState note) {
+    default boolean answeredInTransaction(A answer, AttemptEnd.MemberReport note) {
       return false;
     }
 
--- a/src/main/java/crankspar/core/Prober.java
+++ b/src/main/java/crankspar/core/Prober.java
@@ -10,7 +10,7 @@
   private final Ports.Time time;
   private final Ports.Backends<?, A> backends;
   private final Counters counters;
-  private final MemberStateValidator validator;
+  private final MemberReportValidator validator;
   private final double timeoutMs;
   private Ports.SharedProber sharedProber;
 
@@ -19,7 +19,7 @@
       Ports.Time time,
       Ports.Backends<?, A> backends,
       Counters counters,
-      MemberStateValidator validator,
+      MemberReportValidator validator,
       double timeoutMs) {
     this.time = time;
     this.backends = backends;
@@ -51,10 +51,10 @@
             end -> {
               if (!done[0]) {
                 done[0] = true;
-                AttemptEnd.MemberState state =
+                AttemptEnd.MemberReport state =
                     end instanceof AttemptEnd.Served<A> s
-                        ? validator.validate(s.memberState())
-                        : AttemptEnd.MemberState.NONE;
+                        ? validator.validate(s.memberReport())
+                        : AttemptEnd.MemberReport.NONE;
                 listener.probeCompleted(
                     end instanceof AttemptEnd.Served<A>,
                     time.now() - sent,
--- a/src/main/java/crankspar/daemon/Assembly.java
+++ b/src/main/java/crankspar/daemon/Assembly.java
@@ -20,7 +20,7 @@
 import crankspar.pg.PgAnswer;
 import crankspar.pg.PgFront;
 import crankspar.pg.Statement;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import crankspar.pooling.PoolingFront;
 import crankspar.rest.KeyLog;
 import crankspar.rest.RestFront;
@@ -193,7 +193,7 @@
             add(how.serve(new Fronts.Plan(Fronts.PLATFORM, config.settings(), config.discovery(), config.known(), true, discovery -> {
                 Router.Settings s = config.settings();
                 var pool = new Pool<Statement, PgAnswer>(loop, counters, () -> PgFront.dial(counters), PgFront.probe(), s.limits().connectTimeout(), s.limits().connectionIdleTimeout(), servers);
-                platformCore = new Pooler<>(s, loop, pool, discovery, counters, GossipReceiver.before(Balance::new));
+                platformCore = new Pooler<>(s, loop, pool, discovery, counters, GossipReceiver.before(RequestRouter::new));
                 platformCore.setRequestNaming(statement -> statement.names().get("id"));
                 if (shared != null && s.sessionMarks() == Router.SessionMarks.REMEMBERED) {
                     shareSessions(beside(shared, ".sessions"));
@@ -209,7 +209,7 @@
         if (rest != null) {
             keyLog = openKeys(operator, shared);
             add(how.serve(new Fronts.Plan(Fronts.REST, restSettings, rest.discovery(), rest.members(), false, discovery -> {
-                RestFront.Parts made = RestFront.build(loop, restSettings, counters, discovery, Balance::new, keyLog, clients, servers);
+                RestFront.Parts made = RestFront.build(loop, restSettings, counters, discovery, RequestRouter::new, keyLog, clients, servers);
                 made.front().add(StoreResource.PATH, new StoreResource(store, commits, counters));
                 return new Fronts.Made(made.front(), made.pooler(), made.pool(), () -> made.front().listen(rest.listen()));
             })));
@@ -217,7 +217,7 @@
         }
         if (pools != null) {
             add(how.serve(new Fronts.Plan(Fronts.POOLING, operator.settings(), pools.discovery(), pools.members(), false, discovery -> {
-                PoolingFront.Parts made = PoolingFront.build(loop, operator.settings(), counters, discovery, Balance::new, pools.setup(), pools.servers());
+                PoolingFront.Parts made = PoolingFront.build(loop, operator.settings(), counters, discovery, RequestRouter::new, pools.setup(), pools.servers());
                 pooling = made.front();
                 if (shared != null) {
                     shareCancels(pooling.cancels(), beside(shared, ".pooling-cancel-ring"));
--- a/src/main/java/crankspar/daemon/Warmup.java
+++ b/src/main/java/crankspar/daemon/Warmup.java
@@ -18,7 +18,7 @@
 import crankspar.pg.PgFront;
 import crankspar.pg.PgMessage;
 import crankspar.pg.Statement;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -109,7 +109,7 @@
     List<Member> members = members(settings.zones(), group);
     var pooler =
         new Pooler<Statement, PgAnswer>(
-            settings, this, this, this, counters, GossipReceiver.before(Balance::new));
+            settings, this, this, this, counters, GossipReceiver.before(RequestRouter::new));
     pooler.setPeers(pooler::peerMessageReceived);
     if (audit != null) {
       pooler.setRequestNaming(statement -> statement.names().get("id"));
--- a/src/main/java/crankspar/lab/RoutingModel.java
+++ b/src/main/java/crankspar/lab/RoutingModel.java
@@ -8,7 +8,7 @@
 import crankspar.Router.Status;
 import crankspar.Router;
 import crankspar.gossip.GossipReceiver;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.BitSet;
@@ -20,7 +20,7 @@
 
 /**
  * Routing by many poolers at sizes that sockets don't reach: the daemon's own decisions with their ear for peers
- * ({@link GossipReceiver}, {@link Balance}) before databases that are a few cores, a line and a replayed log each. It counts what
+ * ({@link GossipReceiver}, {@link RequestRouter}) before databases that are a few cores, a line and a replayed log each. It counts what
  * all of them do together, and a broken rule is an exception that names seed and time. Service times and loads are those of
  * the brief; connections are counted, not modelled.
  */
@@ -335,7 +335,7 @@
     private long count, asking, refused, told, opened, coldSent, bounded, boundedAtPrimary, fullest;
     private final double[] weights, popular, worthAsked = new double[SHARES.length], worthServed = new double[SHARES.length];
 
-    public RoutingModel(World world) { this(world, GossipReceiver.before(Balance::new)); }
+    public RoutingModel(World world) { this(world, GossipReceiver.before(RequestRouter::new)); }
 
     /** With other decisions, to compare. */
     public RoutingModel(World world, BiFunction<Router.Settings, Router.Actions, Router> maker) {
--- a/src/main/java/crankspar/pg/ServerSession.java
+++ b/src/main/java/crankspar/pg/ServerSession.java
@@ -2,7 +2,7 @@
 
 import crankspar.Router.Role;
 import crankspar.core.AttemptEnd;
-import crankspar.core.AttemptEnd.MemberState;
+import crankspar.core.AttemptEnd.MemberReport;
 import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.Ports;
@@ -263,7 +263,7 @@
   }
 
   private AttemptEnd<PgAnswer> how() {
-    var note = new MemberState(role, position);
+    var note = new MemberReport(role, position);
     if (phase == Phase.ERROR) {
       return switch (error.code()) {
         case "25006", "72000" -> new AttemptEnd.Missed<>(note);
@@ -294,7 +294,7 @@
    * The report that a probe brings: {@code x0=1767225600.123,x1=1}, a position in Unix seconds and
    * a role. One that cannot be read whole tells nothing.
    */
-  private MemberState report() {
+  private MemberReport report() {
     double at = Double.NaN;
     double primary = Double.NaN;
     byte[] value = row.values().get(0);
@@ -310,7 +310,7 @@
       }
     }
     return Double.isNaN(at) || primary != 0 && primary != 1
-        ? MemberState.NONE
-        : new MemberState(primary == 1 ? Role.PRIMARY : Role.REPLICA, at);
+        ? MemberReport.NONE
+        : new MemberReport(primary == 1 ? Role.PRIMARY : Role.REPLICA, at);
   }
 }
--- a/src/main/java/crankspar/policy/Limits.java
+++ b/src/main/java/crankspar/policy/LoadLimits.java
@@ -4,7 +4,7 @@
  * Limits the load on each member: requests in flight, slow start of a cold member, trials and
  * probes.
  */
-abstract class Limits extends Known {
+abstract class LoadLimits extends RoutingState {
   /**
    * Interval (ms) at which zones are sorted by the lowest latency of the last {@code
    * WINDOW_PERIODS} periods.
@@ -68,7 +68,7 @@
    */
   static final double POSITION_PROBE_COST = 0.05;
 
-  Limits(Settings settings, Actions actions) {
+  LoadLimits(Settings settings, Actions actions) {
     super(settings, actions);
   }
 
--- a/src/main/java/crankspar/policy/Primary.java
+++ b/src/main/java/crankspar/policy/Primary.java
@@ -6,7 +6,7 @@
  * Tracks each group's primary: the newest role report wins; before any report the list decides;
  * otherwise members are tried in turn.
  */
-abstract class Primary extends Limits {
+abstract class Primary extends LoadLimits {
   Primary(Settings settings, Actions actions) {
     super(settings, actions);
   }
--- a/src/main/java/crankspar/policy/Balance.java
+++ b/src/main/java/crankspar/policy/RequestRouter.java
@@ -14,7 +14,7 @@
  * to the primary. Writes and fresh reads go to the member last reported as primary. The rest
  * handles faults and overload: requests wait in the proxy's queue and do not pile up on a member.
  */
-public final class Balance extends Outcomes {
+public final class RequestRouter extends Outcomes {
   /** Mean answer times that must be left before the deadline for a send to be worthwhile. */
   static final double MIN_ANSWER_TIMES = 1.5;
 
@@ -45,7 +45,7 @@
   /** Requests examined in one pass over a queue. */
   static final int MAX_QUEUE_SCAN = 48;
 
-  public Balance(Settings settings, Actions actions) {
+  public RequestRouter(Settings settings, Actions actions) {
     super(settings, actions);
   }
 
--- a/src/main/java/crankspar/policy/Known.java
+++ b/src/main/java/crankspar/policy/RoutingState.java
@@ -17,7 +17,7 @@
  * State of one instance: members, groups, requests, timers and the current time. Makes no routing
  * decision.
  */
-abstract class Known implements Router {
+abstract class RoutingState implements Router {
   /**
    * A replica that has sent nothing for this long (ms) is probed, or tried again with a read that
    * needs no position.
@@ -234,7 +234,7 @@
   boolean ticking;
   double watchRetryDelay = INITIAL_WATCH_RETRY_MS;
 
-  Known(Settings settings, Actions actions) {
+  RoutingState(Settings settings, Actions actions) {
     this.settings = settings;
     this.actions = actions;
     random = new Random(settings.seed());
--- a/src/main/java/crankspar/pooling/Exchange.java
+++ b/src/main/java/crankspar/pooling/Exchange.java
@@ -346,7 +346,8 @@
     List<Statement> statements = Sql.split(f.read().text());
     boolean rejected = refuse(statements);
     for (Statement s : statements) {
-      rejected = rejected || s.kind() == Kind.PREPARE && refuseBeyondLimits(sqlPrepared(s).memoryBytes());
+      rejected =
+          rejected || s.kind() == Kind.PREPARE && refuseBeyondLimits(sqlPrepared(s).memoryBytes());
     }
     if (rejected) {
       batch.queryRefused();
--- a/src/main/java/crankspar/pooling/Lease.java
+++ b/src/main/java/crankspar/pooling/Lease.java
@@ -1,7 +1,7 @@
 package crankspar.pooling;
 
 import crankspar.core.AttemptEnd;
-import crankspar.core.AttemptEnd.MemberState;
+import crankspar.core.AttemptEnd.MemberReport;
 import crankspar.core.AttemptProgress;
 import crankspar.core.Ports;
 import java.util.ArrayList;
@@ -132,12 +132,13 @@
     } else if (server.pool().now() > latestStart) {
       server.finish(
           new AttemptEnd.Broken<>(
-              AttemptProgress.NOT_CONNECTED, "the connection was established after the latest start time"));
+              AttemptProgress.NOT_CONNECTED,
+              "the connection was established after the latest start time"));
     } else {
       queueChangedParameters();
       forward(opening.frames);
       if (active() && !bound && !opening.whole) {
-        bindToClient(MemberState.NONE);
+        bindToClient(MemberReport.NONE);
       }
     }
   }
@@ -231,7 +232,7 @@
    */
   private void deliverErrorBeforeSync() {
     if (active() && !bound && exchange.skippingToSync()) {
-      bindToClient(MemberState.NONE);
+      bindToClient(MemberReport.NONE);
     }
   }
 
@@ -245,12 +246,12 @@
     }
     frames.forEach(this::holdBack);
     if (heldBytes > MAX_HELD_BYTES || exchange.copying()) {
-      bindToClient(MemberState.NONE);
+      bindToClient(MemberReport.NONE);
     }
   }
 
   /** Sends the held replies to the client; from now on the batch is not retried elsewhere. */
-  private void bindToClient(MemberState note) {
+  private void bindToClient(MemberReport note) {
     bound = true;
     progress.answerDelivered();
     List<Frame> delivered = held;
@@ -343,8 +344,8 @@
     server.finish(new AttemptEnd.Served<>(new Answer(reply, this), note()));
   }
 
-  private MemberState note() {
-    return new MemberState(server.reportedStatus().role(), server.reportedStatus().position());
+  private MemberReport note() {
+    return new MemberReport(server.reportedStatus().role(), server.reportedStatus().position());
   }
 
   // ---- Its end.
--- a/src/main/java/crankspar/pooling/Login.java
+++ b/src/main/java/crankspar/pooling/Login.java
@@ -119,7 +119,8 @@
   private void learnServerParameters(
       Setup.Database database, String user, Map<String, String> parameters) {
     try {
-      Route.RoutingDecision way = context.route().decide(database.forUser(user), "", List.of(), client.session());
+      Route.RoutingDecision way =
+          context.route().decide(database.forUser(user), "", List.of(), client.session());
       pendingParameters = parameters;
       client.submit(new OpeningBatch(client, List.of(), true, way, false, Setup.Mode.TRANSACTION));
     } catch (Route.Refused e) {
--- a/src/main/java/crankspar/pooling/MemberRefusal.java
+++ b/src/main/java/crankspar/pooling/MemberRefusal.java
@@ -2,7 +2,7 @@
 
 import crankspar.Router.Role;
 import crankspar.core.AttemptEnd;
-import crankspar.core.AttemptEnd.MemberState;
+import crankspar.core.AttemptEnd.MemberReport;
 import java.util.Set;
 
 /**
@@ -24,7 +24,7 @@
   private MemberRefusal() {}
 
   /** How the attempt ends if the batch was answered with such an error, else null. */
-  static AttemptEnd<Answer> of(OpeningBatch opening, Exchange exchange, MemberState note) {
+  static AttemptEnd<Answer> of(OpeningBatch opening, Exchange exchange, MemberReport note) {
     boolean write = opening.way.write();
     boolean blockAtReplica =
         opening.onlyBegin && note.role() == Role.REPLICA && exchange.status() == 'T';
--- a/src/main/java/crankspar/pooling/Server.java
+++ b/src/main/java/crankspar/pooling/Server.java
@@ -261,7 +261,8 @@
   /** Ends the lease with the transaction; the connection is released for other clients. */
   void finish(AttemptEnd<Answer> how) {
     Lease ended = lease;
-    ReleaseAction.Condition condition = ended.condition(false, mustClose(), connectionReset.pendingCancels());
+    ReleaseAction.Condition condition =
+        ended.condition(false, mustClose(), connectionReset.pendingCancels());
     endLease();
     release(condition);
     ended.reportEnd(how);
@@ -358,7 +359,8 @@
     }
     lease.abandon();
     if (state == ConnectionState.ACTIVE && lease.bound()) {
-      ReleaseAction.Condition condition = lease.condition(true, mustClose(), connectionReset.pendingCancels());
+      ReleaseAction.Condition condition =
+          lease.condition(true, mustClose(), connectionReset.pendingCancels());
       if (ReleaseAction.forCondition(condition) != ReleaseAction.CLOSE) {
         endLease();
         release(condition);
--- a/src/main/java/crankspar/pooling/ServerConnections.java
+++ b/src/main/java/crankspar/pooling/ServerConnections.java
@@ -254,7 +254,7 @@
         how ->
             end.accept(
                 how instanceof AttemptEnd.Served<PgAnswer> s
-                    ? new AttemptEnd.Served<>(null, s.memberState())
+                    ? new AttemptEnd.Served<>(null, s.memberReport())
                     : new AttemptEnd.Broken<>(AttemptProgress.ANSWERED, "probe failed")));
   }
 
--- a/src/main/java/crankspar/rest/RestServerSession.java
+++ b/src/main/java/crankspar/rest/RestServerSession.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import crankspar.Router.Role;
 import crankspar.core.AttemptEnd;
-import crankspar.core.AttemptEnd.MemberState;
+import crankspar.core.AttemptEnd.MemberReport;
 import crankspar.core.AttemptProgress;
 import crankspar.core.Counters;
 import crankspar.core.Ports;
@@ -213,8 +213,8 @@
   /** Each status stands for one outcome of the protocol's table. */
   private AttemptEnd<RestAnswer> how() {
     String role = head.header("role");
-    MemberState note =
-        new MemberState(
+    MemberReport note =
+        new MemberReport(
             "primary".equals(role)
                 ? Role.PRIMARY
                 : "replica".equals(role) ? Role.REPLICA : Role.UNKNOWN,
@@ -255,12 +255,12 @@
       return new AttemptEnd.Served<>(
           new RestAnswer(200, "", bytes, null, null),
           !known
-              ? MemberState.NONE
-              : new MemberState(
+              ? MemberReport.NONE
+              : new MemberReport(
                   "primary".equals(report.get("role")) ? Role.PRIMARY : Role.REPLICA,
                   ((Number) report.get("position")).doubleValue()));
     } catch (IOException e) {
-      return new AttemptEnd.Erred<>(MemberState.NONE, "no load report");
+      return new AttemptEnd.Erred<>(MemberReport.NONE, "no load report");
     }
   }
 
@@ -268,7 +268,7 @@
    * The items stay as they came: cut out, not read and written anew, so that no number changes its
    * digits.
    */
-  private AttemptEnd<RestAnswer> page(int status, String type, byte[] bytes, MemberState note) {
+  private AttemptEnd<RestAnswer> page(int status, String type, byte[] bytes, MemberReport note) {
     String items = null;
     String next = null;
     try (JsonParser p = Json.FACTORY.createParser(bytes)) {
--- a/src/main/java/crankspar/rest/RestWords.java
+++ b/src/main/java/crankspar/rest/RestWords.java
@@ -41,7 +41,7 @@
   private static byte[] served(
       FinalAnswer.Served<RestAnswer> served, RestQuery query, double shown) {
     RestAnswer answer = served.answer();
-    double position = served.memberState().position();
+    double position = served.memberReport().position();
     var headers = new LinkedHashMap<String, String>();
     headers.put("Content-Type", answer.contentType());
     if (!Double.isNaN(position)) {
--- a/src/test/java/crankspar/EmbedExampleTest.java
+++ b/src/test/java/crankspar/EmbedExampleTest.java
@@ -1,6 +1,6 @@
 package crankspar;
 
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,7 +17,7 @@
         Router.Settings settings = actions.settings();
         double clock = Fake.ZERO;
         // example
-        Router router = new Balance(settings, actions);   // your Router.Settings and Router.Actions
+        Router router = new RequestRouter(settings, actions);   // your Router.Settings and Router.Actions
         router.onStart(clock);
         router.onMembers(clock, Router.ListKind.FULL, List.of(
                 new Router.Member("10.0.0.1:3306", "here", true, 1, Router.Health.RUNNING, 1, "std", 0),
--- a/src/test/java/crankspar/Fake.java
+++ b/src/test/java/crankspar/Fake.java
@@ -1,6 +1,6 @@
 package crankspar;
 
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -23,7 +23,7 @@
   boolean softRemoval;
   int siblings = 3;
   long seed = 7;
-  Balance router;
+  RequestRouter router;
   double now = ZERO;
 
   static final int BROWSE = 0;
@@ -77,7 +77,7 @@
   }
 
   Fake start(Router.Member... members) {
-    router = new Balance(settings(), this);
+    router = new RequestRouter(settings(), this);
     router.onStart(now);
     router.onMembers(now, Router.ListKind.OLD_COPY, List.of(members));
     return this;
--- a/src/test/java/crankspar/ModuleTextTest.java
+++ b/src/test/java/crankspar/ModuleTextTest.java
@@ -51,7 +51,7 @@
   @Test
   void itsInterfaceIsNamedAtTheTop() throws IOException {
     assertTrue(
-        Files.readString(MODULE.resolve("Balance.java"))
+        Files.readString(MODULE.resolve("RequestRouter.java"))
             .lines()
             .limit(25)
             .anyMatch(l -> l.contains("Router.java")));
--- a/src/test/java/crankspar/PropertyTest.java
+++ b/src/test/java/crankspar/PropertyTest.java
@@ -9,7 +9,7 @@
 import crankspar.Router.Repeat;
 import crankspar.Router.Role;
 import crankspar.Router.Status;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -53,7 +53,7 @@
     World(Fake fake, long seed) {
       settings = fake.settings();
       random = new Random(seed);
-      module = Trace.recording(settings, trace, Balance::new);
+      module = Trace.recording(settings, trace, RequestRouter::new);
       module.onStart(now);
       module.onMembers(
           now, ListKind.OLD_COPY, IDS.stream().map(id -> Fake.member(id, "near")).toList());
--- a/src/test/java/crankspar/ReplayTest.java
+++ b/src/test/java/crankspar/ReplayTest.java
@@ -4,7 +4,7 @@
 
 import crankspar.gossip.GossipReceiver;
 import crankspar.lab.RoutingModel;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -54,7 +54,7 @@
         .as("a trace that says something")
         .hasSizeGreaterThan(500)
         .anyMatch(l -> l.startsWith("> send"));
-    List<String> is = Trace.replay(was, settings(name), Balance::new).lines().toList();
+    List<String> is = Trace.replay(was, settings(name), RequestRouter::new).lines().toList();
     assertThat(Trace.difference(was, is)).isNull();
   }
 
@@ -76,10 +76,10 @@
             GossipReceiver.before(
                 (settings, actions) -> {
                   if (settings.instanceIndex() != 0 || trace[0] != null) {
-                    return new Balance(settings, actions);
+                    return new RequestRouter(settings, actions);
                   }
                   trace[0] = new Trace(actions);
-                  return Trace.recording(mine, trace[0], Balance::new);
+                  return Trace.recording(mine, trace[0], RequestRouter::new);
                 }));
     model
         .run(3000)
--- a/src/test/java/crankspar/BalanceFixture.java
+++ b/src/test/java/crankspar/RequestRouterFixture.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** The group that most routing policy tests use. */
-abstract class BalanceFixture {
+abstract class RequestRouterFixture {
   /** Primary p in zone far, replicas a and b in near, replica c in mid; all current. */
   static Fake group() {
     return group(new Fake());
--- a/src/test/java/crankspar/BalanceLoadTest.java
+++ b/src/test/java/crankspar/RequestRouterLoadTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the policy under load: slow start, silence, overload, hedging, and members that left. */
-class BalanceLoadTest extends BalanceFixture {
+class RequestRouterLoadTest extends RequestRouterFixture {
   // ---- Regressions found in simulation ----
   /**
    * h6fbc6f, icbb7fb: long reads held up replay on every replica, so only the primary served
--- a/src/test/java/crankspar/BalanceTest.java
+++ b/src/test/java/crankspar/RequestRouterTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the routing policy: normal routing, roles, deadlines, repeats, and members that change. */
-class BalanceTest extends BalanceFixture {
+class RequestRouterTest extends RequestRouterFixture {
   // ---- Normal routing ----
   @Test
   void readsGoToTheNearestZonesReplicas() {
--- a/src/test/java/crankspar/core/PoolerFixture.java
+++ b/src/test/java/crankspar/core/PoolerFixture.java
@@ -132,7 +132,7 @@
     end = listener::ended;
     beforeWrite.run();
     if (query.equals("inline")) {
-      end.accept(new AttemptEnd.Served<>("now", AttemptEnd.MemberState.NONE));
+      end.accept(new AttemptEnd.Served<>("now", AttemptEnd.MemberReport.NONE));
     }
     return () -> progress;
   }
--- a/src/test/java/crankspar/core/PoolerTest.java
+++ b/src/test/java/crankspar/core/PoolerTest.java
@@ -16,7 +16,7 @@
     submit("inline");
     assertThat(moduleEvents).containsExactly("request", "OK over");
     assertThat(answers)
-        .containsExactly(new FinalAnswer.Served<>("now", AttemptEnd.MemberState.NONE));
+        .containsExactly(new FinalAnswer.Served<>("now", AttemptEnd.MemberReport.NONE));
     runUntil(2000);
     assertThat(answers).hasSize(1);
     assertThat(pooler.unansweredCount()).isZero();
@@ -40,9 +40,9 @@
   @Test
   void aLateEndAfterTheClientLeftBringsNoAnswerAndNoSecondOutcome() {
     String id = submit("q");
-    end.accept(new AttemptEnd.Missed<>(AttemptEnd.MemberState.NONE));
+    end.accept(new AttemptEnd.Missed<>(AttemptEnd.MemberReport.NONE));
     pooler.clientLeft(id);
-    end.accept(new AttemptEnd.Served<>("late", AttemptEnd.MemberState.NONE));
+    end.accept(new AttemptEnd.Served<>("late", AttemptEnd.MemberReport.NONE));
     assertThat(moduleEvents).containsExactly("request", "MISS", "gone", "CANCELLED over");
     runUntil(2000);
     assertThat(answers).isEmpty();
@@ -109,12 +109,12 @@
     for (double position : new double[] {now + 5000, 1e300, Double.POSITIVE_INFINITY, -1}) {
       submit("q");
       end.accept(
-          new AttemptEnd.Served<>("a", new AttemptEnd.MemberState(Router.Role.REPLICA, position)));
+          new AttemptEnd.Served<>("a", new AttemptEnd.MemberReport(Router.Role.REPLICA, position)));
       assertThat(lastPosition).as("" + position).isNaN();
     }
     submit("q");
     end.accept(
-        new AttemptEnd.Served<>("a", new AttemptEnd.MemberState(Router.Role.REPLICA, now - 5)));
+        new AttemptEnd.Served<>("a", new AttemptEnd.MemberReport(Router.Role.REPLICA, now - 5)));
     assertThat(lastPosition).isEqualTo(now - 5);
   }
 
--- a/src/test/java/crankspar/core/SecondCopyTest.java
+++ b/src/test/java/crankspar/core/SecondCopyTest.java
@@ -124,12 +124,12 @@
     c.actions.send(c.id, "o", 0);
     assertThat(c.sent).hasSize(2);
     assertThat(c.outcomes).containsExactly("o MOOT");
-    c.sent.get(1).ended(new AttemptEnd.Served<>("mine", AttemptEnd.MemberState.NONE));
+    c.sent.get(1).ended(new AttemptEnd.Served<>("mine", AttemptEnd.MemberReport.NONE));
     assertThat(answers)
-        .containsExactly(new FinalAnswer.Served<>("mine", AttemptEnd.MemberState.NONE));
+        .containsExactly(new FinalAnswer.Served<>("mine", AttemptEnd.MemberReport.NONE));
     assertThat(c.outcomes).containsExactly("o MOOT", "n OK over", "m CANCELLED over");
     assertThat(c.abandoned).containsExactly("m");
-    c.sent.get(0).ended(new AttemptEnd.Served<>("late", AttemptEnd.MemberState.NONE));
+    c.sent.get(0).ended(new AttemptEnd.Served<>("late", AttemptEnd.MemberReport.NONE));
     runUntil(2000);
     assertThat(answers).hasSize(1);
   }
@@ -168,7 +168,7 @@
     c.actions.send(c.id, "n", 0);
     assertThat(c.sent.get(0).answerBegan("long")).isTrue();
     assertThat(c.sent.get(1).answerBegan("other")).isFalse();
-    c.sent.get(1).ended(new AttemptEnd.Served<>("other", AttemptEnd.MemberState.NONE));
+    c.sent.get(1).ended(new AttemptEnd.Served<>("other", AttemptEnd.MemberReport.NONE));
     assertThat(answers).isEmpty();
     c.sent.get(0).ended(new AttemptEnd.Broken<>(AttemptProgress.ANSWERED, "broke"));
     assertThat(answers).hasSize(1).first().isInstanceOf(FinalAnswer.Failed.class);
--- a/src/test/java/crankspar/discovery/SixSecondsTest.java
+++ b/src/test/java/crankspar/discovery/SixSecondsTest.java
@@ -7,7 +7,7 @@
 import crankspar.TestSettings;
 import crankspar.discovery.DiscoveryClient.Effect;
 import crankspar.discovery.DiscoveryClient.Event;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -56,7 +56,7 @@
     final DiscoveryClient following = new DiscoveryClient(false, 250);
     final Set<Integer> open = new HashSet<>();
     final Map<Integer, Integer> spanOf = new HashMap<>();
-    final Balance module;
+    final RequestRouter module;
     final double delay;
     double now, heard = Double.NaN;
     int span, calls;
@@ -68,7 +68,7 @@
       this.delay = delay;
       var s = TestSettings.with("\"AskEvery\": 10000.0", "\"AskEvery\": " + askEvery);
       module =
-          new Balance(
+          new RequestRouter(
               new crankspar.Router.Settings(
                   seed,
                   s.zone(),
--- a/src/test/java/crankspar/duties/SharedProbesTest.java
+++ b/src/test/java/crankspar/duties/SharedProbesTest.java
@@ -13,7 +13,7 @@
 import crankspar.membership.Swim;
 import crankspar.net.EventLoop;
 import crankspar.net.ScriptedPeer;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetSocketAddress;
@@ -66,7 +66,7 @@
                   () ->
                       end.accept(
                           new AttemptEnd.Served<>(
-                              "", new AttemptEnd.MemberState(Router.Role.PRIMARY, loop.now()))));
+                              "", new AttemptEnd.MemberReport(Router.Role.PRIMARY, loop.now()))));
               return () -> AttemptProgress.ANSWERED;
             }
           };
@@ -78,7 +78,7 @@
               on -> {},
               counters,
               (s, a) -> {
-                var module = new Balance(s, a);
+                var module = new RequestRouter(s, a);
                 return (Router)
                     java.lang.reflect.Proxy.newProxyInstance(
                         Router.class.getClassLoader(),
--- a/src/test/java/crankspar/net/PoolTest.java
+++ b/src/test/java/crankspar/net/PoolTest.java
@@ -62,7 +62,7 @@
         return false;
       }
       carried(encoded);
-      listener.ended(new AttemptEnd.Served<>("row", AttemptEnd.MemberState.NONE));
+      listener.ended(new AttemptEnd.Served<>("row", AttemptEnd.MemberReport.NONE));
       return true;
     }
 
--- a/src/test/java/crankspar/pg/ClosingTest.java
+++ b/src/test/java/crankspar/pg/ClosingTest.java
@@ -8,7 +8,7 @@
 import crankspar.net.EventLoop;
 import crankspar.net.Pool;
 import crankspar.net.ScriptedPeer.Wire;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -51,7 +51,7 @@
               settings,
               counters,
               new Pooler<Statement, PgAnswer>(
-                  settings, loop, pool, on -> {}, counters, Balance::new),
+                  settings, loop, pool, on -> {}, counters, RequestRouter::new),
               20);
       InetSocketAddress address =
           front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
--- a/src/test/java/crankspar/pg/PgDoor.java
+++ b/src/test/java/crankspar/pg/PgDoor.java
@@ -11,7 +11,7 @@
 import crankspar.net.Pool;
 import crankspar.net.ScriptedPeer;
 import crankspar.net.ScriptedPeer.Wire;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -45,7 +45,8 @@
     loop = new EventLoop("test");
     pool =
         new Pool<>(loop, counters, () -> PgFront.dial(counters), PgFront.probe(), 250, 30_000, 300);
-    core = new Pooler<>(TestSettings.platform(), loop, pool, on -> {}, counters, Balance::new);
+    core =
+        new Pooler<>(TestSettings.platform(), loop, pool, on -> {}, counters, RequestRouter::new);
     front = new PgFront(loop, TestSettings.platform(), counters, core, places);
     loop.runAndWait(() -> core.start(List.of()));
     address = front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
--- a/src/test/java/crankspar/pg/PgFrontFixture.java
+++ b/src/test/java/crankspar/pg/PgFrontFixture.java
@@ -11,7 +11,7 @@
 import crankspar.net.Pool;
 import crankspar.net.ScriptedPeer;
 import crankspar.net.ScriptedPeer.Wire;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -86,7 +86,8 @@
         new Pool<Statement, PgAnswer>(
             loop, counters, () -> PgFront.dial(counters), PgFront.probe(), 250, 30_000, 20);
     var core =
-        new Pooler<Statement, PgAnswer>(settings, loop, pool, on -> {}, counters, Balance::new);
+        new Pooler<Statement, PgAnswer>(
+            settings, loop, pool, on -> {}, counters, RequestRouter::new);
     front = new PgFront(loop, settings, counters, core, PLACES);
     var members = new ArrayList<Member>();
     for (int i = 0; i < servers.length; i++) {
--- a/src/test/java/crankspar/pg/PgFrontTest.java
+++ b/src/test/java/crankspar/pg/PgFrontTest.java
@@ -326,7 +326,7 @@
                       List.of(("x0=" + value + ",x1=1").getBytes(StandardCharsets.UTF_8))),
                   new PgMessage.CommandComplete("SHOW"),
                   new PgMessage.ReadyForQuery())));
-      var note = ((crankspar.core.AttemptEnd.Served<PgAnswer>) told.get(0)).memberState();
+      var note = ((crankspar.core.AttemptEnd.Served<PgAnswer>) told.get(0)).memberReport();
       assertThat(note.position())
           .as(value)
           .matches(x -> Double.isNaN(x) || x > 1e17); // the core drops the latter
--- a/src/test/java/crankspar/rest/RestDoor.java
+++ b/src/test/java/crankspar/rest/RestDoor.java
@@ -7,7 +7,7 @@
 import crankspar.net.EventLoop;
 import crankspar.net.ScriptedPeer;
 import crankspar.net.ScriptedPeer.Wire;
-import crankspar.policy.Balance;
+import crankspar.policy.RequestRouter;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -47,7 +47,7 @@
             TestSettings.platform(),
             counters,
             on -> {},
-            Balance::new,
+            RequestRouter::new,
             KeyLog.inMemory(),
             50,
             50);
