--- a/src/main/java/crankspar/rest/RestReply.java
+++ b/src/main/java/crankspar/rest/RestReply.java
@@ -7,7 +7,7 @@
 /**
  * Where the final answer to a session's request goes.
  *
- * @param kept whether it is of use though the client has left
+ * @param keepsAnswer whether it is of use though the client has left
  */
 record RestReply(RestSession session, boolean keepsAnswer, Consumer<FinalAnswer<RestAnswer>> told)
     implements Ports.Reply<RestAnswer> {
