--- a/src/main/java/crankspar/pooling/Lease.java
+++ b/src/main/java/crankspar/pooling/Lease.java
@@ -8,15 +8,13 @@
 import java.util.List;
 
 /**
- * One client's use of a server connection, from the opening batch to the end of its transaction or
- * session. It forwards messages, holds replies back while the batch can still be retried at another
- * member, and reports how the attempt ends. {@link Server} is the connection; {@link Release}
- * decides how the connection is prepared for the next client.
+ * One client's use of a {@link Server} connection, from its opening batch to the end of transaction
+ * or session. It holds replies back while the batch can still be retried at another member, and
+ * reports how the attempt ends; {@link ReleaseAction} prepares the connection for the next client.
  */
 final class Lease {
   /**
-   * Replies up to this size (bytes) are held back until complete. A longer reply is streamed to the
-   * client, which rules out a retry.
+   * Replies up to this size (bytes) are held until complete. Longer ones are streamed: no retry.
    */
   private static final int MAX_HELD_BYTES = 64 * 1024;
 
